--- a/internal/testkit/fleetsim/day.go
+++ b/internal/testkit/fleetsim/day.go
@@ -42,7 +42,7 @@
 //	join   most endpoints are replaced within seven seconds
 func Scenarios() []string { return []string{"calm", "roll", "herd", "zone", "split", "join"} }
 
-// Bounds of a Day. Fewer sidecars would leave tiers of almost no endpoints; larger simulations would take minutes.
+// Day.Check enforces these bounds. Fewer sidecars would leave tiers of almost no endpoints; larger simulations would take minutes.
 const (
 	minSidecars = 20
 	maxSidecars = 2000
@@ -72,7 +72,7 @@
 	isKeyed          bool          // whether requests carry an idempotency key, by which the endpoints of a cell drop duplicates
 	fraction         float64       // fraction of clients' requests that belong to the class
 	work             float64       // mean CPU time of a request in all tiers, in seconds of a core of speed 1
-	latencyObjective time.Duration // time from a request within which its response counts as in time
+	latencyObjective time.Duration // time after the start of a request within which its response counts as in time
 	deadline         time.Duration // time from a client's first attempt to send a request until the request's deadline
 	weight           float64       // priority weight, which is the value of one request
 }
@@ -84,42 +84,43 @@
 	{"bag-dispatch", true, 0.25, 0.31, 2500 * time.Millisecond, 6 * time.Second, 3},
 }
 
-// tiers are the tiers of endpoints. Front sidecars send to the first tier, and each tier calls the next one.
+// tiers are the tiers of endpoints. Front sidecars, which receive the clients' requests, send to the first tier, and each tier calls the
+// next one.
 var tiers = []struct {
-	work  float64 // mean work of each request to the tier, as a fraction of class.work
-	size  float64 // number of endpoints of the tier, relative to the first tier
-	calls int     // requests that an endpoint sends to the next tier, one after another, for each request that it serves
+	workFraction float64 // mean work of each request to the tier, as a fraction of class.work
+	relativeSize float64 // number of endpoints of the tier, relative to the first tier
+	calls        int     // number of requests that an endpoint sends to the next tier, one after another, for each request that it serves
 }{{0.39, 1, 2}, {0.33, 2, 1}, {0.28, 1.55, 0}}
 
-// Limits that sidecars and endpoints must keep, and the tolerances with which package invariant checks them.
+// Package invariant checks the simulated sidecars and endpoints with these limits and tolerances.
 const (
 	dedupWindow       = 10 * time.Second       // time in which the endpoints of a cell drop duplicates of a request with an idempotency key
 	maxAttempts       = 4                      // highest number of attempts that a sidecar may send for one request
 	overloadTolerance = 0.25                   // fraction by which the work of a warming endpoint may exceed the overload limit, since work varies at random
-	drainGrace        = 500 * time.Millisecond // time from a notification of a drain until no new request may follow
+	drainGrace        = 500 * time.Millisecond // time for which a sidecar may go on sending requests to an endpoint after a notification that the endpoint is draining
 	timeTolerance     = 50 * time.Millisecond  // tolerance that the check adds to each time limit
 )
 
-// Properties of the topology and of each endpoint.
+// These constants describe the topology and each endpoint.
 const (
-	cellSize         = 4       // number of endpoints in a cell, each of which drops duplicates of requests that any of them received
-	zoneCount        = 3       // number of zones over which each tier is spread
-	frontFraction    = 1.0 / 6 // fraction of the sidecars that receive requests from clients
-	coresPerEndpoint = 2
-	maxInWork        = 24 // highest number of requests that an endpoint works on at the same time
-	maxQueued        = 12 // highest number of requests that wait at an endpoint, in addition to maxInWork; further ones are rejected
+	cellSize              = 4       // number of endpoints in a cell, each of which drops duplicates of requests that any of them received
+	zoneCount             = 3       // number of zones over which each tier is spread
+	frontFraction         = 1.0 / 6 // fraction of the sidecars that receive requests from clients
+	coresPerEndpoint      = 2
+	maxConcurrentRequests = 24 // highest number of requests that an endpoint works on at the same time
+	maxQueued             = 12 // highest number of requests that wait at an endpoint, in addition to maxConcurrentRequests; further ones are rejected
 )
 
-// Delays and limits of the network and of discovery.
+// The network and discovery have these delays and limits.
 const (
 	wireDelay      = 500 * time.Microsecond  // delay of a message in one direction
 	handshakeDelay = 1500 * time.Microsecond // time that opening a connection takes in addition to a round trip
-	maxConnections = 40                      // highest number of connections that an endpoint accepts, low enough for sidecars to run into it
+	maxConnections = 40                      // highest number of connections that an endpoint accepts, low enough for sidecars to reach the limit
 	idleTimeout    = 15 * time.Second        // time after which a sidecar closes an idle connection
 	meanListDelay  = 800 * time.Millisecond  // mean time until a sidecar receives a change of the endpoint list
 )
 
-// Behaviour of the clients, and the time limits of responses to them.
+// These constants set the behaviour of the clients, and the time limits of responses to them.
 const (
 	loadSkew         = 3.0                    // relative loads of front sidecars range from 1/loadSkew to loadSkew
 	clientRetryDelay = 100 * time.Millisecond // time from a failed response until the client's retry
@@ -128,7 +129,7 @@
 	responseGrace    = 500 * time.Millisecond // time after a request's deadline at which a missing response is recorded as overdue
 )
 
-// Extent of the faults in the scenario herd.
+// These constants set the extent of the faults in the scenario herd.
 const (
 	faultSlowdown = 4.0     // factor by which requests take longer at a slow endpoint
 	slowFraction  = 1.0 / 8 // fraction of the endpoints that become slow
--- a/internal/testkit/fleetsim/endpoint.go
+++ b/internal/testkit/fleetsim/endpoint.go
@@ -23,13 +23,13 @@
 	isIsolated      bool                // whether messages to and from the endpoint are lost, though its process runs
 	isOverloaded    bool                // whether too much work while warming up has overloaded the endpoint, which then rejects all requests until it restarts
 	incarnation     int                 // number of times that the endpoint's process was killed; a callback with an older number belongs to an earlier process
-	inFlight        int                 // requests that the endpoint works on or has queued
+	inFlight        int                 // number of requests that the endpoint works on or has queued
 	openConnections int                 // number of open connections from all sidecars
 	busyCores       int                 // number of cores in use, at most coresPerEndpoint
-	cpuQueue        []func(done func()) // tasks that wait for a core, in order; see runOnCore
+	cpuQueue        []func(done func()) // tasks that wait for a core, oldest first; see runOnCore
 	recentColdWork  []timedWork         // work received within the latest overload window while the endpoint was warming up
 	ownSidecar      *sidecar            // sidecar through which the endpoint calls the tier below; nil in the last tier
-	listedState     balance.State       // state of the endpoint that discovery lists
+	listedState     balance.State       // state that discovery lists for the endpoint
 	isGone          bool                // whether the endpoint has been replaced, so that discovery does not list it any more
 }
 
@@ -110,7 +110,7 @@
 }
 
 // receive handles an attempt that has arrived completely. It calls onResult with the result, unless the endpoint's process
-// is killed before.
+// is killed before the result is known.
 func (e *endpoint) receive(a *attempt, work float64, key string, onResult func(balance.Result)) {
 	sim, incarnation := e.sim, e.incarnation
 	sim.record(invariant.Event{Kind: invariant.AttemptReceived, Request: a.request.id, Node: e.id, FirstByteAt: a.sentAt - epoch, Work: work, Cell: e.cell})
@@ -122,7 +122,7 @@
 			onResult(result)
 		}
 	}
-	if e.isOverloaded || e.inFlight >= maxInWork+maxQueued {
+	if e.isOverloaded || e.inFlight >= maxConcurrentRequests+maxQueued {
 		respond(balance.Rejected, invariant.AttemptRejected)
 		return
 	}
--- a/internal/testkit/fleetsim/fleet_test.go
+++ b/internal/testkit/fleetsim/fleet_test.go
@@ -44,7 +44,7 @@
 			for i, rule := range r.Rules.Rules {
 				tested[i] = tested[i] || rule.Verdict != invariant.Untested
 			}
-			if again := runDay(t, eventloop.NewBalancer, smallDay(scenario)); !reflect.DeepEqual(r, again) {
+			if repeated := runDay(t, eventloop.NewBalancer, smallDay(scenario)); !reflect.DeepEqual(r, repeated) {
 				t.Error("two simulations of the same day have different results")
 			}
 		})
@@ -70,27 +70,27 @@
 	}
 }
 
-// firstListOnly is the balancer of package balance, but ignores all endpoint lists and updates after the first list.
-type firstListOnly struct {
+// firstListBalancer is the balancer of package balance, but ignores all endpoint lists and updates after the first list.
+type firstListBalancer struct {
 	balance.Events
 	hasList bool
 }
 
-func (b *firstListOnly) EndpointList(now time.Duration, list balance.EndpointUpdate) {
+func (b *firstListBalancer) EndpointList(now time.Duration, list balance.EndpointUpdate) {
 	if !b.hasList {
 		b.hasList = true
 		b.Events.EndpointList(now, list)
 	}
 }
 
-// newestOnly is a balancer that sends all requests to the endpoint that started last.
-type newestOnly struct {
+// newestEndpointBalancer is a balancer that sends all requests to the endpoint that started last.
+type newestEndpointBalancer struct {
 	balance.Events
 	host   balance.Host
 	newest balance.Endpoint // endpoint that started last of all that were listed as ready
 }
 
-func (b *newestOnly) EndpointList(now time.Duration, list balance.EndpointUpdate) {
+func (b *newestEndpointBalancer) EndpointList(now time.Duration, list balance.EndpointUpdate) {
 	for _, endpoint := range list.Endpoints {
 		if endpoint.State == balance.Ready && endpoint.Started >= b.newest.Started {
 			b.newest = endpoint
@@ -98,48 +98,48 @@
 	}
 }
 
-func (b *newestOnly) Request(now time.Duration, r balance.Request) {
+func (b *newestEndpointBalancer) Request(now time.Duration, r balance.Request) {
 	b.host.Send(r.ID, b.newest.ID, r.Deadline-now)
 }
 
-func (b *newestOnly) Outcome(_ time.Duration, o balance.Outcome) {
+func (b *newestEndpointBalancer) Outcome(_ time.Duration, o balance.Outcome) {
 	if !o.IsFinal && o.Result != balance.OK {
 		b.host.Fail(o.ID)
 	}
 }
 
-func (b *newestOnly) Timer(time.Duration) {}
+func (b *newestEndpointBalancer) Timer(time.Duration) {}
 
-// neverResponds is a balancer that accepts requests and never has a response sent.
-type neverResponds struct{ balance.Events }
+// neverRespondingBalancer is a balancer that accepts requests and never has a response sent.
+type neverRespondingBalancer struct{ balance.Events }
 
-func (neverResponds) Request(time.Duration, balance.Request) {}
+func (neverRespondingBalancer) Request(time.Duration, balance.Request) {}
 
-// alwaysRetries is a balancer that retries every failed attempt at some other endpoint, even if the attempt may have taken effect.
-type alwaysRetries struct {
+// alwaysRetryingBalancer is a balancer that retries every failed attempt at some other endpoint, even if the attempt may have taken effect.
+type alwaysRetryingBalancer struct {
 	balance.Events
 	host          balance.Host
-	ids           []string       // IDs of all endpoints that were listed as ready
+	endpointIDs   []string       // IDs of all endpoints that were listed as ready
 	attemptCounts map[string]int // number of attempts sent, by request ID
 }
 
-func (b *alwaysRetries) EndpointList(_ time.Duration, list balance.EndpointUpdate) {
+func (b *alwaysRetryingBalancer) EndpointList(_ time.Duration, list balance.EndpointUpdate) {
 	for _, endpoint := range list.Endpoints {
 		if endpoint.State == balance.Ready {
-			b.ids = append(b.ids, endpoint.ID)
+			b.endpointIDs = append(b.endpointIDs, endpoint.ID)
 		}
 	}
 }
 
-func (b *alwaysRetries) Request(now time.Duration, r balance.Request) { b.send(r.ID) }
+func (b *alwaysRetryingBalancer) Request(now time.Duration, r balance.Request) { b.send(r.ID) }
 
 // send sends the next attempt of a request to an endpoint that depends on the request's ID and the number of the attempt.
-func (b *alwaysRetries) send(id string) {
+func (b *alwaysRetryingBalancer) send(id string) {
 	b.attemptCounts[id]++
-	b.host.Send(id, b.ids[(len(id)+b.attemptCounts[id]*7+int(id[len(id)-1]))%len(b.ids)], 300*time.Millisecond)
+	b.host.Send(id, b.endpointIDs[(len(id)+b.attemptCounts[id]*7+int(id[len(id)-1]))%len(b.endpointIDs)], 300*time.Millisecond)
 }
 
-func (b *alwaysRetries) Outcome(_ time.Duration, o balance.Outcome) {
+func (b *alwaysRetryingBalancer) Outcome(_ time.Duration, o balance.Outcome) {
 	switch {
 	case o.IsFinal || o.Result == balance.OK:
 	case b.attemptCounts[o.ID] < maxAttempts:
@@ -149,7 +149,7 @@
 	}
 }
 
-func (b *alwaysRetries) Timer(time.Duration) {}
+func (b *alwaysRetryingBalancer) Timer(time.Duration) {}
 
 // Each case uses a balancer that breaks one invariant of package invariant, and the check of the timeline must find the violation.
 func TestViolationsOfInvariantsAreFound(t *testing.T) {
@@ -159,15 +159,17 @@
 		newBalancer    eventloop.BalancerFactory
 	}{
 		{"never responds", "calm", 1, func(now time.Duration, s balance.Settings, h balance.Host) balance.Events {
-			return neverResponds{eventloop.NewBalancer(now, s, h)}
+			return neverRespondingBalancer{eventloop.NewBalancer(now, s, h)}
 		}},
 		{"retries what may have taken effect", "split", 2, func(_ time.Duration, _ balance.Settings, h balance.Host) balance.Events {
-			return &alwaysRetries{host: h, attemptCounts: map[string]int{}}
+			return &alwaysRetryingBalancer{host: h, attemptCounts: map[string]int{}}
 		}},
 		{"ignores that endpoints drain and go", "join", 3, func(now time.Duration, s balance.Settings, h balance.Host) balance.Events {
-			return &firstListOnly{Events: eventloop.NewBalancer(now, s, h)}
+			return &firstListBalancer{Events: eventloop.NewBalancer(now, s, h)}
+		}},
+		{"floods an endpoint that is warming up", "join", 4, func(_ time.Duration, _ balance.Settings, h balance.Host) balance.Events {
+			return &newestEndpointBalancer{host: h}
 		}},
-		{"floods an endpoint that is warming up", "join", 4, func(_ time.Duration, _ balance.Settings, h balance.Host) balance.Events { return &newestOnly{host: h} }},
 	} {
 		r := runDay(t, testCase.newBalancer, smallDay(testCase.scenario))
 		if rule := r.Rules.Rules[testCase.invariant-1]; rule.Verdict != invariant.Broken {
@@ -176,7 +178,7 @@
 	}
 }
 
-// For an invalid day Run returns an error that begins with the outer name of the invalid field.
+// For an invalid day Run returns an error that begins with the name by which users of the simulation know the invalid field.
 func TestInvalidDaysAreRejected(t *testing.T) {
 	valid := smallDay("calm")
 	for field, invalidate := range map[string]func(*Day){
@@ -194,10 +196,10 @@
 	}
 }
 
-// At another site, endpoints start at a seventh of their capacity, take 24 s to warm up, and are overloaded by too much work within
-// one second. While endpoints are replaced and sidecars restart, under a demand as high as the full capacity, all sidecars together do
-// not overload an endpoint that is warming up.
-func TestWarmingEndpointsOfAnotherSiteAreNotOverloaded(t *testing.T) {
+// All sidecars together do not overload an endpoint that is warming up, even if endpoints start at a seventh of their capacity, take 24 s
+// to warm up, and are overloaded by too much work within one second. Meanwhile endpoints are replaced or sidecars restart, and the demand
+// is as high as the full capacity.
+func TestSlowlyWarmingEndpointsAreNotOverloaded(t *testing.T) {
 	for _, scenario := range []string{"roll", "join"} {
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprint(scenario, seed), func(t *testing.T) {
--- a/internal/testkit/fleetsim/run.go
+++ b/internal/testkit/fleetsim/run.go
@@ -34,7 +34,7 @@
 	Connections       int               `json:"connections"` // connections that sidecars opened to endpoints, in all tiers
 	DiscoveryMessages int               `json:"lists"`       // number of endpoint lists and updates that sidecars received
 	PeakColdLoad      float64           `json:"cold_most"`   // most work on a warming endpoint within the overload window, as a multiple of what overloads it
-	Rules             *invariant.Report `json:"rules"`       // which of the four invariants of traffic held
+	Rules             *invariant.Report `json:"rules"`       // verdicts on the four invariants of package invariant
 }
 
 // ServedFraction returns the fraction of the offered value that was served in time.
@@ -62,7 +62,7 @@
 		d.SlowStart = defaultSlowStart
 	}
 	sim := &simulation{day: d, newBalancer: newBalancer, rng: rand.New(rand.NewPCG(d.Seed, 0x666c656574)), now: epoch, keysSeen: map[string]time.Duration{}, result: &Result{Format: 1, Day: d.Scenario, Sidecars: d.Sidecars}}
-	sim.build()
+	sim.buildTopology()
 	for _, t := range sim.tiers {
 		sim.result.Endpoints += len(t)
 	}
@@ -101,21 +101,21 @@
 		for _, e := range sim.tiers[t] {
 			capacity += coresPerEndpoint * e.speed
 		}
-		rate = min(rate, capacity/(work*tiers[t].work*callsPerRequest))
+		rate = min(rate, capacity/(work*tiers[t].workFraction*callsPerRequest))
 		callsPerRequest *= float64(tiers[t].calls)
 	}
 	rate *= sim.day.Utilization
-	weights, sum := make([]float64, len(sim.front)), 0.0
+	weights, sum := make([]float64, len(sim.frontSidecars)), 0.0
 	for i := range weights {
 		weights[i] = math.Pow(loadSkew, sim.rng.Float64()*2-1)
 		sum += weights[i]
 	}
-	for i, s := range sim.front {
+	for i, s := range sim.frontSidecars {
 		sim.scheduleArrivals(s, time.Duration(float64(time.Second)*sum/(rate*weights[i])))
 	}
 }
 
-// announce notifies all sidecars that send to an endpoint's tier of the endpoint's present entry in the list, each after a random delay.
+// announce passes an endpoint's present list entry to each sidecar that sends requests to the endpoint's tier, after a random delay.
 func (sim *simulation) announce(e *endpoint) {
 	entry := e.listEntry()
 	if e.isGone {
@@ -154,15 +154,15 @@
 	switch sim.day.Scenario {
 	case "roll":
 		sim.replaceEndpoints(sample(sim, sim.allEndpoints(), 0.5), begin, faultPeriod)
-		for i, s := range sim.front {
-			sim.schedule(begin+faultPeriod*time.Duration(i*10/len(sim.front))/10, func() { sim.restartSidecar(s) })
+		for i, s := range sim.frontSidecars {
+			sim.schedule(begin+faultPeriod*time.Duration(i*10/len(sim.frontSidecars))/10, func() { sim.restartSidecar(s) })
 		}
 	case "herd":
 		for _, e := range sample(sim, sim.allEndpoints(), slowFraction) {
 			sim.schedule(begin, func() { e.slowdown = faultSlowdown })
 			sim.schedule(begin+faultPeriod, func() { e.slowdown = 1 })
 		}
-		for _, s := range sample(sim, sim.front, 0.7) {
+		for _, s := range sample(sim, sim.frontSidecars, 0.7) {
 			sim.schedule(begin, func() { sim.restartSidecar(s) })
 		}
 	case "zone":
--- a/internal/testkit/fleetsim/sidecar.go
+++ b/internal/testkit/fleetsim/sidecar.go
@@ -17,7 +17,7 @@
 	isUp        bool                       // whether the sidecar's process runs
 	incarnation int                        // number of times that the sidecar's process was killed; a callback with an older number belongs to an earlier process
 	balancer    balance.Events             // balancer of the running process
-	lastList    balance.EndpointUpdate     // complete endpoint list as of the latest update
+	lastList    balance.EndpointUpdate     // complete endpoint list that discovery had when the sidecar received its latest update
 	endpoints   map[string]*endpoint       // endpoints that were ever listed to this process, by ID
 	requests    map[string]*request        // requests that have no response yet or an attempt in flight, by ID
 	idleSince   map[string][]time.Duration // for each idle connection, the time since which it has been idle; by endpoint ID
@@ -183,7 +183,7 @@
 	s.runDeferred()
 }
 
-// respond sends the final response of a request, unless it has one.
+// respond sends the final response of a request, unless the request is done already. A nil request is ignored.
 func (s *sidecar) respond(req *request, status int) {
 	if req == nil || req.isDone {
 		return
@@ -209,7 +209,8 @@
 	}
 }
 
-// endAttempt reports the outcome of an attempt to the balancer, unless the attempt has ended before or the sidecar was killed since.
+// endAttempt reports the outcome of an attempt to the balancer, unless the attempt has already ended or the sidecar
+// was killed after sending the attempt.
 func (s *sidecar) endAttempt(a *attempt, result balance.Result, reused bool) {
 	if !a.isInFlight || a.sidecarIncarnation != s.incarnation || !s.isUp {
 		return
@@ -309,7 +310,7 @@
 
 // drawWork draws the work of a request in a tier, in seconds of a core of speed 1.
 func (sim *simulation) drawWork(class, tier int) float64 {
-	return sim.rng.ExpFloat64() * classes[class].work * tiers[tier].work
+	return sim.rng.ExpFloat64() * classes[class].work * tiers[tier].workFraction
 }
 
 // Cancel implements balance.Host. It does nothing: the settings leave CanCancel unset, so the balancer cancels no attempt.
@@ -337,7 +338,7 @@
 	}
 }
 
-// Probe implements balance.Host. The settings disable load probes.
+// Probe implements balance.Host. It does nothing: the settings leave CanProbe unset, so the balancer sends no load probes.
 func (s *sidecar) Probe(string) {}
 
 // HasIdleConnection implements balance.Host, after closing connections that have been idle for too long.
--- a/internal/testkit/fleetsim/simulation.go
+++ b/internal/testkit/fleetsim/simulation.go
@@ -22,9 +22,9 @@
 	now             time.Duration            // virtual time; the day begins at epoch
 	queue           eventqueue.Queue[func()] // functions to call at later times
 	tiers           [][]*endpoint            // endpoints of each tier, including those that have been replaced
-	front           []*sidecar               // sidecars that receive requests from clients
+	frontSidecars   []*sidecar               // sidecars that receive requests from clients
 	sidecars        []*sidecar               // all sidecars, including those of endpoints that have been replaced
-	keysSeen        map[string]time.Duration // time of the first request with an idempotency key, by tier, cell and key
+	keysSeen        map[string]time.Duration // virtual time at which isDuplicate stored an idempotency key, by tier, cell and key
 	nameCount       int                      // number of names that nextName has returned
 	requestCount    int                      // number of requests that were sent to any sidecar, retries of clients included
 	timeline        []invariant.Event        // events for the check of the invariants, in order of time
@@ -57,19 +57,19 @@
 	return time.Duration(sim.rng.ExpFloat64() * float64(mean))
 }
 
-// nextName returns the prefix with a number that is unique within the simulation.
+// nextName returns the prefix followed by a number that is unique within the simulation.
 func (sim *simulation) nextName(prefix string) string {
 	sim.nameCount++
 	return fmt.Sprint(prefix, sim.nameCount)
 }
 
-// build creates the endpoints, a sidecar for each endpoint that calls a tier below, and the front sidecars.
-func (sim *simulation) build() {
+// buildTopology creates the endpoints, a sidecar for each endpoint that calls a tier below, and the front sidecars.
+func (sim *simulation) buildTopology() {
 	frontCount := max(int(float64(sim.day.Sidecars)*frontFraction), 2)
-	firstTierSize := max(int(float64(sim.day.Sidecars-frontCount)/(tiers[0].size+tiers[1].size)), cellSize)
+	firstTierSize := max(int(float64(sim.day.Sidecars-frontCount)/(tiers[0].relativeSize+tiers[1].relativeSize)), cellSize)
 	for t := range tiers {
 		sim.tiers = append(sim.tiers, nil)
-		for i := range int(float64(firstTierSize) * tiers[t].size) {
+		for i := range int(float64(firstTierSize) * tiers[t].relativeSize) {
 			sim.addEndpoint(t, i, 0)
 		}
 	}
@@ -80,7 +80,7 @@
 	}
 	for i := range frontCount {
 		s := sim.newSidecar(fmt.Sprint("f", i), 0, i)
-		sim.front = append(sim.front, s)
+		sim.frontSidecars = append(sim.frontSidecars, s)
 		s.start(balance.EndpointUpdate{})
 	}
 }
@@ -122,11 +122,11 @@
 	var send func(retries int)
 	send = func(retries int) {
 		target := s
-		for range sim.front {
+		for range sim.frontSidecars {
 			if target.isUp {
 				break
 			}
-			target = sim.front[sim.rng.IntN(len(sim.front))]
+			target = sim.frontSidecars[sim.rng.IntN(len(sim.frontSidecars))]
 		}
 		sim.result.ClientAttempts++
 		target.accept(class, key, startedAt+c.deadline, func(status int) {
