--- a/internal/testkit/raftsim/checker.go
+++ b/internal/testkit/raftsim/checker.go
@@ -12,7 +12,7 @@
 
 // Checker verifies what voters commit and which versions daemons act on. Its zero value is ready for use.
 type Checker struct {
-	Violations []string      // descriptions of violations; later ones than the first maxViolations are dropped
+	Violations []string      // descriptions of violations; addViolation drops all after the first maxViolations
 	MaxOverlap time.Duration // longest time for which a daemon acted on a version after another had begun to act on a later one
 
 	digestByVersion map[uint64][32]byte // digest of the documents that daemons acted on, by version
@@ -43,10 +43,10 @@
 		c.addViolation("%v: daemon %d acts on other documents of version %d than another daemon", now, n.index, version)
 	}
 	c.digestByVersion[version] = digest
-	if last := len(c.firstDecisions) - 1; last < 0 || version > c.firstDecisions[last].version {
+	if lastIndex := len(c.firstDecisions) - 1; lastIndex < 0 || version > c.firstDecisions[lastIndex].version {
 		c.firstDecisions = append(c.firstDecisions, firstDecision{version, now})
 	}
-	// The first entry with a later version is the earliest decision of any daemon under a version later than this one.
+	// The first entry whose version is later is the earliest decision of any daemon under a later version.
 	for _, first := range c.firstDecisions {
 		if first.version > version {
 			c.MaxOverlap = max(c.MaxOverlap, now-first.at)
--- a/internal/testkit/raftsim/client.go
+++ b/internal/testkit/raftsim/client.go
@@ -55,14 +55,14 @@
 	})
 }
 
-// proposePuts begins a change of a document, unless the simulation is quiescent, and proposes each recent change that is not committed
-// to a random voter, like a client that got no response and retries.
+// proposePuts begins a change of a document, unless the simulation is quiescent. It then sends each recent change that is not committed
+// yet to a random voter, like a client that got no response and retries.
 func (s *Simulation) proposePuts() {
 	if !s.isQuiescent {
-		s.lastPut++
-		id := fmt.Sprint("put-", s.lastPut)
+		s.lastPutNumber++
+		id := fmt.Sprint("put-", s.lastPutNumber)
 		command := &consensus.Command{ID: id, ProposedBy: "test", Put: &consensus.DocumentPut{Name: fmt.Sprint("doc-", s.rng.IntN(3)), Body: []byte(id)}}
-		switch s.lastPut % rejectedPutPeriod {
+		switch s.lastPutNumber % rejectedPutPeriod {
 		case 0:
 			command.Put = &consensus.DocumentPut{Name: rejectableDoc, Body: []byte(id + rejectedSuffix)}
 		case rejectedPutPeriod / 4:
@@ -71,11 +71,11 @@
 			command.Put, command.Revert = nil, &consensus.DocumentVersion{Name: "doc-0", Version: s.Checker.latestVersion / 2}
 		}
 		s.proposals[id] = &proposal{command: command}
-		if s.lastPut%(2*rejectedPutPeriod) == 0 { // every second put that daemons reject is activated by force
+		if s.lastPutNumber%(2*rejectedPutPeriod) == 0 { // every second put that daemons reject is activated by force
 			s.schedule(nil, s.Now+s.options.PutInterval/2, s.forcePendingVersion)
 		}
 	}
-	for i := max(1, s.lastPut-20); i <= s.lastPut; i++ {
+	for i := max(1, s.lastPutNumber-20); i <= s.lastPutNumber; i++ {
 		if p := s.proposals[fmt.Sprint("put-", i)]; !p.isCommitted {
 			if proposer := s.randomVoter(); proposer != nil {
 				s.schedule(proposer, s.Now, func() { s.callVoter(proposer, func() { _ = proposer.voter.Propose(p.command) }) })
--- a/internal/testkit/raftsim/network.go
+++ b/internal/testkit/raftsim/network.go
@@ -12,7 +12,7 @@
 // node has crashed or restarted since the event was scheduled.
 type event struct {
 	node        *Node // node to which the event belongs; nil: none
-	incarnation int   // incarnation of the node that scheduled the event
+	incarnation int   // Node.incarnation of node at the time of scheduling
 	run         func()
 }
 
@@ -26,8 +26,8 @@
 	s.queue.Schedule(max(at, s.Now), e)
 }
 
-// Run processes all events up to an instant, which becomes Now. Events of nodes that are down or have restarted since are dropped;
-// events of paused nodes are rescheduled for the end of the pause.
+// Run processes all events up to an instant, which becomes Now. An event of a node that is down, or has restarted since the event
+// was scheduled, is dropped. An event of a paused node is rescheduled for the end of the pause.
 func (s *Simulation) Run(until time.Duration) {
 	for e, ok := s.queue.PopDue(until); ok; e, ok = s.queue.PopDue(until) {
 		s.Now = e.At
@@ -87,7 +87,7 @@
 func (s *Simulation) sendGrant(n *Node, g consensus.AddressedGrant) {
 	s.send(n.index, indexOf(g.Recipient), func(d *Node) {
 		d.gotGrant, d.leaseTarget = true, n.index
-		s.handleSlotStatus(d, g.Grant)
+		s.applySlotStatus(d, g.Grant)
 		d.leaseHolder.HandleGrant(d.localTime(s.Now), g.Grant)
 		s.installLeasedVersion(d)
 		if version, docs := d.leaseHolder.PendingCheck(); version > 0 {
--- a/internal/testkit/raftsim/node.go
+++ b/internal/testkit/raftsim/node.go
@@ -26,10 +26,10 @@
 	peerIndexes     map[uint64]int // indexes of voters by raft id, learned from their messages
 	knownVoters     []int          // indexes of the nodes that may be asked for a lease
 	diskID          string         // random id of the disk
-	persistedVoters []int          // knownVoters that the latest lease grant listed; they survive a restart of the node
+	persistedVoters []int          // indexes of the voters that the latest lease grant listed; kept across restarts of the node
 	disk            *simdisk.Disk
 	log             *wal.Log
-	voter           *consensus.Voter // nil: the node runs no voter
+	voter           *consensus.Voter // voter that the node runs; nil: none
 	isSyncing       bool             // whether the voter's output is being made durable; calls of the voter are deferred until the sync has ended
 	deferredCalls   []func()         // calls of the voter that wait for the end of the sync, in order
 	leaseHolder     *consensus.LeaseHolder
@@ -134,15 +134,15 @@
 		return
 	}
 	if call(); n.voter.StopReason != nil {
-		s.handleVoterStop(n)
+		s.crashStoppedVoter(n)
 		return
 	}
 	s.processOutput(n)
 }
 
-// handleVoterStop reports a violation and crashes the node. No voter may stop itself unless its disk has lost data that was
-// synced.
-func (s *Simulation) handleVoterStop(n *Node) {
+// crashStoppedVoter reports that a node's voter has stopped itself, as a violation, and crashes the node. No voter may stop
+// itself unless its disk has lost data that was synced.
+func (s *Simulation) crashStoppedVoter(n *Node) {
 	s.Checker.addViolation("%v: voter %d stops: %v", s.Now, n.index, n.voter.StopReason)
 	s.Crash(n)
 }
@@ -156,7 +156,7 @@
 	voter := n.voter
 	output := voter.Output(n.localTime(s.Now))
 	if n.voter.StopReason != nil {
-		s.handleVoterStop(n)
+		s.crashStoppedVoter(n)
 		return
 	}
 	if output == nil && len(n.voter.Grants) == 0 && len(n.voter.Results) == 0 {
@@ -216,8 +216,9 @@
 	})
 }
 
-// handleSlotStatus updates, from a grant, the voters that a daemon knows, and stops or starts the daemon's own voter.
-func (s *Simulation) handleSlotStatus(n *Node, g consensus.LeaseGrant) {
+// applySlotStatus sets the voters that a daemon knows to those that a grant lists, and stops or starts the daemon's own voter as the
+// grant requires.
+func (s *Simulation) applySlotStatus(n *Node, g consensus.LeaseGrant) {
 	n.knownVoters = nil
 	for _, name := range g.SlotHolders {
 		n.knownVoters = append(n.knownVoters, s.nodeNamed(name).index)
--- a/internal/testkit/raftsim/simulation.go
+++ b/internal/testkit/raftsim/simulation.go
@@ -2,7 +2,8 @@
 // partitions, message loss, delays, paused processes, crashes during writes, lost disks and clocks of different rates. A checker
 // observes every version that a daemon acts on.
 //
-// The same seed gives the same run, except for runs that reconfigure voters: package consensus iterates over maps there.
+// The same seed gives the same run, except for runs that reconfigure voters: in a reconfiguration, package consensus iterates over
+// maps.
 package raftsim
 
 import (
@@ -49,18 +50,18 @@
 	Now                   time.Duration // virtual time since the start
 	Nodes                 []*Node
 	Checker               Checker
-	Decisions             int // attempts of daemons to act on a version, with or without a lease
-	DecisionsWithoutLease int // decisions that were denied, since no lease covered the installed version
-
-	options     Options
-	rng         *rand.Rand
-	queue       eventqueue.Queue[event]
-	cutLinks    map[[2]int]bool      // links that lose all messages, by the indexes of sender and receiver
-	lossRate    float64              // probability that a message on any link is lost
-	extraDelay  time.Duration        // greatest random delay of a message in addition to minDelay and delaySpread
-	proposals   map[string]*proposal // puts and reverts by command ID
-	lastPut     int                  // number in the ID of the latest proposal
-	isQuiescent bool                 // no new puts or reconfigurations are proposed
+	Decisions             int // number of attempts of daemons to act on a version, with or without a lease
+	DecisionsWithoutLease int // number of decisions that were denied, since no lease covered the installed version
+
+	options       Options
+	rng           *rand.Rand
+	queue         eventqueue.Queue[event]
+	cutLinks      map[[2]int]bool      // links that lose all messages, by the indexes of sender and receiver
+	lossRate      float64              // probability that a message on any link is lost
+	extraDelay    time.Duration        // greatest random delay of a message in addition to minDelay and delaySpread
+	proposals     map[string]*proposal // puts and reverts by command ID
+	lastPutNumber int                  // number in the ID of the latest proposal
+	isQuiescent   bool                 // no new puts or reconfigurations are proposed
 }
 
 // New returns a simulation in which all nodes have started.
@@ -157,11 +158,11 @@
 			}
 		}
 		duration := time.Duration(s.rng.Int64N(int64(6 * time.Second)))
-		kinds := 8
+		faultKinds := 8
 		if s.options.ReconfigurationInterval > 0 {
-			kinds++
+			faultKinds++
 		}
-		switch s.rng.IntN(kinds) {
+		switch s.rng.IntN(faultKinds) {
 		case 0, 1:
 			s.partition(duration)
 		case 2:
@@ -220,7 +221,7 @@
 
 // Converge ends puts and reconfigurations, restarts the daemons whose voter was removed, and runs the simulation for a duration
 // without faults, with a last put in the middle. The checker then verifies that all daemons act on the latest version.
-func (s *Simulation) Converge(within time.Duration) {
+func (s *Simulation) Converge(duration time.Duration) {
 	s.isQuiescent = true
 	for _, n := range s.Nodes {
 		if n.wasRemoved {
@@ -228,10 +229,10 @@
 			s.startNode(n)
 		}
 	}
-	s.Run(s.Now + within/2)
-	s.lastPut++ // this put gives rejectableDoc a body that all daemons accept
-	id := fmt.Sprint("put-", s.lastPut)
+	s.Run(s.Now + duration/2)
+	s.lastPutNumber++ // this put gives rejectableDoc a body that all daemons accept
+	id := fmt.Sprint("put-", s.lastPutNumber)
 	s.proposals[id] = &proposal{command: &consensus.Command{ID: id, ProposedBy: "test", Put: &consensus.DocumentPut{Name: rejectableDoc, Body: []byte(id)}}}
-	s.Run(s.Now + within/2)
+	s.Run(s.Now + duration/2)
 	s.Checker.checkConverged(s)
 }
--- a/internal/testkit/raftsim/simulation_test.go
+++ b/internal/testkit/raftsim/simulation_test.go
@@ -27,10 +27,10 @@
 
 // Under random faults voters agree on every version, no two daemons act on different versions for longer than the leases allow, and
 // the cluster converges afterwards. TULIPROCK_TEST_RAFTSIM_SCHEDULES sets the number of seeds that are run.
-func TestRandomFaultSchedules(t *testing.T) {
-	schedules := 20
+func TestLeasesHoldAndClusterConvergesUnderRandomFaults(t *testing.T) {
+	scheduleCount := 20
 	if n, err := strconv.Atoi(os.Getenv("TULIPROCK_TEST_RAFTSIM_SCHEDULES")); err == nil {
-		schedules = n
+		scheduleCount = n
 	}
 	var mu sync.Mutex
 	var workers sync.WaitGroup
@@ -39,7 +39,7 @@
 	for range runtime.GOMAXPROCS(0) {
 		workers.Go(func() {
 			for seed := range seeds {
-				// Even seeds have three voters and odd seeds five. One seed in ten has 48 other nodes, all others have 4.
+				// Clusters of even seeds have three voters, those of odd seeds five. One seed in ten has 48 nodes without a voter, the others 4.
 				o := Options{Voters: 3 + 2*int(seed%2), NonVoters: 4 * int(1+seed%10/9*11), Seed: seed, LeaseConfig: leaseConfig}
 				if seed%3 == 0 {
 					o.ReconfigurationInterval = 2 * time.Second
@@ -60,13 +60,13 @@
 			}
 		})
 	}
-	for seed := range uint64(schedules) {
+	for seed := range uint64(scheduleCount) {
 		seeds <- seed + 1
 	}
 	close(seeds)
 	workers.Wait()
 	t.Logf("%d schedules: longest overlap %v of %v; %d decisions, %d without a lease; %d versions",
-		schedules, maxOverlap, leaseConfig.MaxOverlap(), decisions, withoutLease, versions)
+		scheduleCount, maxOverlap, leaseConfig.MaxOverlap(), decisions, withoutLease, versions)
 }
 
 // The checker detects, in one of 300 schedules at least, each defect that breaks a guarantee of the leases or of the log.
--- a/internal/testkit/raftsim/table.go
+++ b/internal/testkit/raftsim/table.go
@@ -61,8 +61,8 @@
 // measurePut gives up after a minute; commitLatency is then 0 if the put was not committed.
 func (s *Simulation) measurePut() (commitLatency, activationLatency time.Duration) {
 	startedAt, versionBefore := s.Now, s.Checker.latestVersion
-	s.lastPut++
-	id := fmt.Sprint("put-", s.lastPut)
+	s.lastPutNumber++
+	id := fmt.Sprint("put-", s.lastPutNumber)
 	s.proposals[id] = &proposal{command: &consensus.Command{ID: id, Put: &consensus.DocumentPut{Name: "doc", Body: []byte(id)}}}
 	for s.Now < startedAt+time.Minute {
 		s.Run(s.Now + pollInterval)
