--- a/internal/testkit/swimsim/simulation.go
+++ b/internal/testkit/swimsim/simulation.go
@@ -17,12 +17,12 @@
 	Nodes          int
 	Seed           uint64
 	StartConverged bool         // every node runs at the start and knows all others
-	LossFraction   float64      // fraction of messages that are lost; of stream messages, this fraction is delayed by resendDelay and the same fraction of the rest is lost
+	LossFraction   float64      // probability that a datagram is lost, or that a stream message is delayed by resendDelay; a stream message that is not delayed is lost with the same probability
 	SlowFraction   float64      // fraction of nodes that alternate between pauses and running phases of about a second each
 	Swim           swim.Options // options of every node; Self, Seed and InitialMembers are overwritten
 }
 
-// One-way delays of a message, as in the network of one site: a message takes from minDelay to minDelay+delayJitter.
+// In one direction a message takes from minDelay to minDelay+delayJitter, as in the network of one site.
 const (
 	minDelay    = 200 * time.Microsecond
 	delayJitter = 800 * time.Microsecond
@@ -38,19 +38,19 @@
 	Nodes []*Node
 	IsCut func(from, to int) bool // reports whether messages between two nodes, given by index, are lost; nil: no link is cut
 
-	options Options
-	rng     *rand.Rand
-	queue   eventqueue.Queue[event]
-	byAddr  map[netip.AddrPort]*Node // running node by the address it listens on
+	options     Options
+	rng         *rand.Rand
+	queue       eventqueue.Queue[event]
+	nodesByAddr map[netip.AddrPort]*Node // running node by the address it listens on
 
-	Messages, Bytes uint64                                      // totals sent by all nodes, lost messages included
+	Messages, Bytes uint64                                      // numbers of messages and bytes that all nodes have sent, lost messages included
 	OnChange        func(by *Node, c swim.Change)               // called for each state change in a node's view; may be nil
-	TamperMessage   func(to *Node, m swim.Message) swim.Message // replaces each received message, to simulate a faulty detector; may be nil
+	TamperMessage   func(to *Node, m swim.Message) swim.Message // returns the message that a node gets in place of a received one, to simulate a faulty failure detector; may be nil
 }
 
 // Node is a simulated daemon: a swim node, and the state of its process.
 type Node struct {
-	*swim.Node                // nil until the first start
+	*swim.Node                // member that the node's process runs or ran last; nil until the first start
 	Index       int           // position in Simulation.Nodes
 	Peer        swim.Peer     // identity of the running process or, if the process is down, of its next start
 	IsDown      bool          // the process does not run
@@ -70,7 +70,7 @@
 // New returns a simulation at virtual time 0. Unless the nodes start converged, the first node starts at 0 and the others at
 // random instants within the first second.
 func New(o Options) *Simulation {
-	s := &Simulation{options: o, rng: rand.New(rand.NewPCG(o.Seed, 1)), byAddr: map[netip.AddrPort]*Node{}}
+	s := &Simulation{options: o, rng: rand.New(rand.NewPCG(o.Seed, 1)), nodesByAddr: map[netip.AddrPort]*Node{}}
 	var members []swim.Update
 	for i := range o.Nodes {
 		n := &Node{Index: i, Peer: swim.Peer{Name: Name(i), Addr: Addr(i), Generation: uint64(i + 1)}, ClockRate: 1, isSlow: s.rng.Float64() < o.SlowFraction}
@@ -92,7 +92,7 @@
 	return s
 }
 
-// Name returns the name of the node with index i.
+// Name returns the name of the node with index i, which is "s" followed by i.
 func Name(i int) string { return "s" + string(appendInt(nil, i)) }
 
 // appendInt appends the decimal digits of i, which is not negative.
@@ -118,15 +118,15 @@
 	}
 	n.IsDown, n.StartedAt, n.PausedUntil = false, s.Now, 0
 	n.Node = swim.New(n.clockTime(s.Now), o)
-	s.byAddr[n.Peer.Addr] = n
+	s.nodesByAddr[n.Peer.Addr] = n
 	s.scheduleTick(n)
 }
 
 // Kill ends a node's process without an announcement to its peers.
 func (s *Simulation) Kill(n *Node) {
 	n.IsDown = true
-	if s.byAddr[n.Peer.Addr] == n {
-		delete(s.byAddr, n.Peer.Addr)
+	if s.nodesByAddr[n.Peer.Addr] == n {
+		delete(s.nodesByAddr, n.Peer.Addr)
 	}
 }
 
@@ -150,7 +150,7 @@
 func (s *Simulation) Run(until time.Duration, done func() bool) bool {
 	for e, ok := s.queue.PopDue(until); ok; e, ok = s.queue.PopDue(until) {
 		s.Now = e.At
-		if s.handle(e) && done != nil && done() {
+		if s.processEvent(e) && done != nil && done() {
 			return true
 		}
 	}
@@ -158,8 +158,8 @@
 	return false
 }
 
-// handle processes one event at its node, sends the resulting messages, and reports whether the node's view of the cluster changed.
-func (s *Simulation) handle(e eventqueue.Entry[event]) (viewChanged bool) {
+// processEvent processes one event at its node, sends the resulting messages, and reports whether the node's view of the cluster changed.
+func (s *Simulation) processEvent(e eventqueue.Entry[event]) (viewChanged bool) {
 	n, m := e.Event.node, e.Event.message
 	if n.Node == nil {
 		s.StartNode(n, nil)
@@ -210,7 +210,7 @@
 	for _, e := range n.TakeMessages() {
 		s.Messages++
 		s.Bytes += uint64(len(transport.AppendSwimMessage(buffer[:0], e.Message))) + transport.MaxOverheadBytes
-		to := s.byAddr[e.To]
+		to := s.nodesByAddr[e.To]
 		if to == nil || to.IsDown || s.IsCut != nil && s.IsCut(n.Index, to.Index) {
 			continue
 		}
--- a/internal/testkit/swimsim/simulation_test.go
+++ b/internal/testkit/swimsim/simulation_test.go
@@ -18,9 +18,9 @@
 	events []clusterinvariant.Event
 }
 
-// Time limits within which the views of all nodes must be right, in simulations of seven nodes.
+// In simulations of seven nodes, the views of all nodes must be right within these time limits.
 const (
-	detectWithin = 12 * time.Second // enough for the only surviving node to detect the failure of the other six
+	detectWithin = 12 * time.Second // time from the end of a node until all others must detect the end; enough for one survivor to detect the end of six nodes
 	settleWithin = 3 * time.Second  // time from the last fault, start or end of a node until all views must be right
 )
 
@@ -43,7 +43,7 @@
 	s.events = append(s.events, clusterinvariant.Event{At: s.Now, Kind: clusterinvariant.StateObserved, Observer: observer.Peer.Name, Subject: subject, State: state.String(), Incarnation: incarnation})
 }
 
-// recordFact records a start, shutdown or end of node n or, if n is nil, the begin or end of a fault.
+// recordFact records a start, shutdown or end of node n or, if n is nil, the beginning or end of a fault.
 func (s *checkedSimulation) recordFact(kind clusterinvariant.Kind, n *Node) {
 	e := clusterinvariant.Event{At: s.Now, Kind: kind}
 	if n != nil {
@@ -153,8 +153,8 @@
 		s.Run(s.Now+detectWithin+settleWithin, nil)
 	},
 	// While one node is paused, two killed nodes are detected and forgotten by the others, and another restarts at a new address.
-	// After its pause the paused node's view still lists all three as alive at their old addresses. It must not convince the other
-	// nodes of that.
+	// After its pause the paused node's view still lists all three as alive at their old addresses. The paused node must not
+	// convince the other nodes that these entries are current.
 	"one node paused for half an hour": func(s *checkedSimulation) {
 		s.killNodes(5, 6)
 		paused := s.Nodes[2]
@@ -274,7 +274,7 @@
 				found = found || violation.Rule == detector.rule
 			}
 			if found != (detector.rule != "") || detector.rule == "" && len(v.Violations) > 0 {
-				t.Errorf("got %d violations, want some of rule %q and none if that is empty; the first are %+v", len(v.Violations), detector.rule, v.Violations[:min(len(v.Violations), 3)])
+				t.Errorf("got %d violations, want some of rule %q, or none if the rule is empty; the first are %+v", len(v.Violations), detector.rule, v.Violations[:min(len(v.Violations), 3)])
 			}
 		})
 	}
--- a/internal/testkit/swimsim/table.go
+++ b/internal/testkit/swimsim/table.go
@@ -11,8 +11,8 @@
 	"tuliprock/internal/cluster/swim"
 )
 
-// Case is a simulated cluster whose failure detector is measured.
-type Case struct {
+// MeasuredCluster is a simulated cluster whose failure detector is measured.
+type MeasuredCluster struct {
 	Nodes             int
 	LossFraction      float64 // fraction of messages that are lost
 	SlowFraction      float64 // fraction of nodes that alternate between pauses and running phases
@@ -22,7 +22,7 @@
 	Seed              uint64
 }
 
-// Measurement is the result of measuring a Case.
+// Measurement is the result of measuring a MeasuredCluster.
 type Measurement struct {
 	FalseFailureRate float64         // false failures per hour in the whole cluster; a failure that several daemons detect counts once
 	FirstDetections  []time.Duration // times from the kill of a node until the first other node detected the failure, ascending
@@ -34,12 +34,12 @@
 
 const (
 	warmUpPeriod = 20 * time.Second // time before the observation period
-	maxKills     = 5                // nodes killed per case
+	maxKills     = 5                // highest number of nodes killed per cluster
 	cutDuration  = 20 * time.Second // length of the cut after which RecoveryTime is measured
 )
 
-// options returns the options of the case's simulations, which start with converged views.
-func (c Case) options() Options {
+// options returns the options of the cluster's simulations, which start with converged views.
+func (c MeasuredCluster) options() Options {
 	o := Options{Nodes: c.Nodes, Seed: c.Seed, StartConverged: true, LossFraction: c.LossFraction, SlowFraction: c.SlowFraction, Swim: c.Swim}
 	if c.WithoutLifeguard {
 		o.Swim.DisableLocalHealth, o.Swim.DisableSuspicionShrink, o.Swim.DisableBuddySystem = true, true, true
@@ -47,9 +47,9 @@
 	return o
 }
 
-// Measure simulates the case. It observes the cluster without further faults, then kills some nodes one after another, and
+// Measure simulates the cluster. It observes the cluster without further faults, then kills some nodes one after another, and
 // if withCut is set, measures in a second simulation how long the cluster takes to recover from a cut.
-func (c Case) Measure(withCut bool) Measurement {
+func (c MeasuredCluster) Measure(withCut bool) Measurement {
 	var m Measurement
 	sim := New(c.options())
 	type failure struct {
@@ -81,7 +81,7 @@
 }
 
 // measureDetection kills a node, waits at most two minutes until all others have detected its failure, and adds the times to m.
-func (c Case) measureDetection(sim *Simulation, n *Node, m *Measurement) {
+func (c MeasuredCluster) measureDetection(sim *Simulation, n *Node, m *Measurement) {
 	if n.isSlow { // the kill of a slow node can't be told from a pause of the node
 		return
 	}
@@ -108,7 +108,7 @@
 
 // measureRecovery returns how long the views of a cluster take to become equal after a cut into two halves has healed, or -1 if
 // that takes more than a minute.
-func (c Case) measureRecovery() time.Duration {
+func (c MeasuredCluster) measureRecovery() time.Duration {
 	sim := New(c.options())
 	sim.Run(5*time.Second, nil)
 	sim.IsCut = func(a, b int) bool { return a%2 != b%2 }
@@ -126,7 +126,7 @@
 func Tables(out io.Writer, sizes []int, seed uint64) error {
 	var rows strings.Builder
 	fmt.Fprintln(&rows, "daemons\tloss\tslow\tLifeguard\tfalse/h\tfirst knows: middle\tmost\tall know: middle\tmost\tmessages/s\tbytes/s\tviews equal after a cut")
-	writeRow := func(c Case, withCut bool) {
+	writeRow := func(c MeasuredCluster, withCut bool) {
 		m := c.Measure(withCut)
 		recoveryTime := "-"
 		if withCut {
@@ -136,18 +136,18 @@
 			formatQuantile(m.FirstDetections, 0.5), formatQuantile(m.FirstDetections, 1), formatQuantile(m.FullDetections, 0.5), formatQuantile(m.FullDetections, 1), m.MessageRate, m.ByteRate, recoveryTime)
 	}
 	for _, n := range sizes {
-		period := 4 * time.Minute
+		observationPeriod := 4 * time.Minute
 		if n > 100 {
-			period = time.Minute
+			observationPeriod = time.Minute
 		}
-		writeRow(Case{Nodes: n, ObservationPeriod: period, Seed: seed}, true)
+		writeRow(MeasuredCluster{Nodes: n, ObservationPeriod: observationPeriod, Seed: seed}, true)
 	}
 	for _, withoutLifeguard := range []bool{false, true} {
-		for _, loss := range []float64{0.05, 0.1, 0.2, 0.3, 0.4} {
-			writeRow(Case{Nodes: 100, LossFraction: loss, WithoutLifeguard: withoutLifeguard, ObservationPeriod: 4 * time.Minute, Seed: seed}, loss == 0.2)
+		for _, lossFraction := range []float64{0.05, 0.1, 0.2, 0.3, 0.4} {
+			writeRow(MeasuredCluster{Nodes: 100, LossFraction: lossFraction, WithoutLifeguard: withoutLifeguard, ObservationPeriod: 4 * time.Minute, Seed: seed}, lossFraction == 0.2)
 		}
-		for _, slow := range []float64{0.05, 0.1, 0.2} {
-			writeRow(Case{Nodes: 100, SlowFraction: slow, WithoutLifeguard: withoutLifeguard, ObservationPeriod: 4 * time.Minute, Seed: seed}, false)
+		for _, slowFraction := range []float64{0.05, 0.1, 0.2} {
+			writeRow(MeasuredCluster{Nodes: 100, SlowFraction: slowFraction, WithoutLifeguard: withoutLifeguard, ObservationPeriod: 4 * time.Minute, Seed: seed}, false)
 		}
 	}
 	if err := writeColumns(out, rows.String()); err != nil {
@@ -157,7 +157,7 @@
 	fmt.Fprintln(&rows, "\nprobe_every\tsuspicion\tloss\tslow\tfalse/h\tall know: middle\tmost\tmessages/s")
 	for _, probeInterval := range []time.Duration{250 * time.Millisecond, 500 * time.Millisecond, time.Second} {
 		for _, suspicion := range []time.Duration{500 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second} {
-			for _, c := range []Case{{LossFraction: 0.2}, {SlowFraction: 0.1}} {
+			for _, c := range []MeasuredCluster{{LossFraction: 0.2}, {SlowFraction: 0.1}} {
 				c.Nodes, c.ObservationPeriod, c.Seed = 100, 2*time.Minute, seed
 				c.Swim = swim.Options{ProbeInterval: probeInterval, SuspicionTimeout: suspicion}
 				m := c.Measure(false)
@@ -177,7 +177,7 @@
 	return t.Flush()
 }
 
-// formatQuantile formats the q-quantile of times in ascending order; without times it is a dash.
+// formatQuantile formats the q-quantile of times in ascending order; it returns a dash if there are no times.
 func formatQuantile(times []time.Duration, q float64) string {
 	if len(times) == 0 {
 		return "-"
--- a/internal/testkit/swimsim/table_test.go
+++ b/internal/testkit/swimsim/table_test.go
@@ -7,8 +7,8 @@
 )
 
 // In a cluster of seven daemons without network faults no false failure is detected, and all daemons detect each killed one within 15 s.
-func TestMeasureWithoutFaults(t *testing.T) {
-	m := Case{Nodes: 7, ObservationPeriod: time.Minute, Seed: 1}.Measure(true)
+func TestMeasureDetectsKilledNodesWithoutFalseFailures(t *testing.T) {
+	m := MeasuredCluster{Nodes: 7, ObservationPeriod: time.Minute, Seed: 1}.Measure(true)
 	if m.FalseFailureRate != 0 {
 		t.Errorf("got %.1f false failures per hour, want 0", m.FalseFailureRate)
 	}
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestFormatQuantile(t *testing.T) {
+func TestFormatQuantileReturnsQuantileOrDash(t *testing.T) {
 	if got := formatQuantile(nil, 0.5); got != "-" {
 		t.Errorf("quantile of no times is %q, want %q", got, "-")
 	}
