--- a/tools/rename/main.go
+++ b/tools/rename/main.go
@@ -37,7 +37,7 @@
 // rule is a line of the table: one identifier to rename.
 type rule struct {
 	pkgPath    string // import path of the package that declares the identifier
-	identifier string // NAME or TYPE.MEMBER
+	identifier string // identifier to rename, as NAME or TYPE.MEMBER
 	newName    string
 }
 
@@ -50,9 +50,9 @@
 // renamer collects the edits of all files. It identifies an object by the position of its declaration, since a package and its
 // test variants are type-checked separately and so have different objects for the same identifier.
 type renamer struct {
-	files   *token.FileSet               // positions of all loaded files
-	targets map[string]string            // new names, by the position of the declaration
-	edits   map[string]map[edit]struct{} // edits by file; a set, since a file is visited once for each test variant of its package
+	files    *token.FileSet               // positions of all loaded files
+	newNames map[string]string            // new names, by the position of the declaration
+	edits    map[string]map[edit]struct{} // edits by file; a set, since a file is visited once for each test variant of its package
 }
 
 func main() {
@@ -76,7 +76,7 @@
 	if err = errors.Join(err, file.Close()); err != nil {
 		return err
 	}
-	r := &renamer{files: token.NewFileSet(), targets: map[string]string{}, edits: map[string]map[edit]struct{}{}}
+	r := &renamer{files: token.NewFileSet(), newNames: map[string]string{}, edits: map[string]map[edit]struct{}{}}
 	loaded, err := packages.Load(&packages.Config{Mode: packages.LoadAllSyntax, Tests: true, Fset: r.files, Dir: moduleDir}, "./...")
 	if err != nil {
 		return err
@@ -86,7 +86,7 @@
 			err = errors.Join(err, e)
 		}
 	}
-	if err = errors.Join(err, r.findTargets(loaded, rules)); err != nil {
+	if err = errors.Join(err, r.findDeclarations(loaded, rules)); err != nil {
 		return err
 	}
 	for _, p := range loaded {
@@ -114,9 +114,9 @@
 	return rules, lines.Err()
 }
 
-// findTargets records the declaration of each rule's identifier. It returns an error that names all identifiers that do not
+// findDeclarations records the declaration of each rule's identifier. It returns an error that names all identifiers that do not
 // exist.
-func (r *renamer) findTargets(loaded []*packages.Package, rules []rule) error {
+func (r *renamer) findDeclarations(loaded []*packages.Package, rules []rule) error {
 	var missing error
 	for _, rule := range rules {
 		found := false
@@ -126,7 +126,7 @@
 			}
 			if object := lookup(p.Types, rule.identifier); object != nil {
 				found = true
-				r.targets[r.position(object)] = rule.newName
+				r.newNames[r.position(object)] = rule.newName
 			}
 		}
 		if !found {
@@ -200,10 +200,11 @@
 	case *types.Func:
 		o = v.Origin()
 	}
-	return r.targets[r.position(o)]
+	return r.newNames[r.position(o)]
 }
 
-// typeName returns the object that declares a named type or alias, or the one a pointer points to; otherwise it returns nil.
+// typeName returns the object that declares a type, which may be a named type, an alias or a pointer to one of them. It returns nil for
+// any other type.
 func typeName(t types.Type) types.Object {
 	if pointer, ok := t.(*types.Pointer); ok {
 		t = pointer.Elem()
