--- a/tools/rename/main.go
+++ b/tools/rename/main.go
@@ -34,6 +34,10 @@
 	moduleDir  = ".."        // directory of the module tuliprock, relative to tools, where the command runs
 )
 
+// testMainSuffix ends the import paths of the main packages that the go command generates for tests. Their source is in the build
+// cache, which must not be edited.
+const testMainSuffix = ".test"
+
 // rule is a line of the table: one identifier to rename.
 type rule struct {
 	pkgPath    string // import path of the package that declares the identifier
@@ -90,6 +94,9 @@
 		return err
 	}
 	for _, p := range loaded {
+		if strings.HasSuffix(p.PkgPath, testMainSuffix) {
+			continue
+		}
 		for _, syntax := range p.Syntax {
 			r.renameIn(p.TypesInfo, syntax)
 		}
