--- a/cmd/tuliprock/check.go
+++ b/cmd/tuliprock/check.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &route.Request{Host: route.Host(u.Host), Path: path, RawQuery: query, Method: method, Header: header}, nil
+	return &route.Request{Host: route.NormalizeHost(u.Host), Path: path, RawQuery: query, Method: method, Header: header}, nil
 }
 
 // explainRoute prints which route matches a request, and why each route before it does not.
--- a/cmd/tuliprock/command.go
+++ b/cmd/tuliprock/command.go
@@ -36,7 +36,7 @@
 	var line commandLine
 	parser, err := kong.New(&line, kong.Name("tuliprock"),
 		kong.Description("A load-balancing sidecar. With no argument: the daemon, as ROUTER_CONFIG says."),
-		kong.Vars{"day": rehearsals.Default, "days": strings.Join(rehearsals.Names(), ", ")})
+		kong.Vars{"day": rehearsals.DefaultDay, "days": strings.Join(rehearsals.Names(), ", ")})
 	if err != nil {
 		panic(err) // a tag of commandLine is malformed
 	}
--- a/cmd/tuliprock/daemonflags.go
+++ b/cmd/tuliprock/daemonflags.go
@@ -24,7 +24,7 @@
 // call sends a cluster command to the daemon. words are the name and the arguments of the command, and body is the document that
 // is sent with it.
 func (f *daemonFlags) call(body []byte, words ...string) (*status.CommandResult, error) {
-	return status.Call(f.AdminAddr, words, body, agreementTimeout)
+	return status.SendCommand(f.AdminAddr, words, body, agreementTimeout)
 }
 
 // printResult writes a result as JSON if the flag --json is given; otherwise it calls print with standard output.
--- a/cmd/tuliprock/faultschedule_check_test.go
+++ b/cmd/tuliprock/faultschedule_check_test.go
@@ -17,7 +17,7 @@
 // the version that the last put made.
 func (s *faultSchedule) checkGuarantees(version uint64) {
 	t := s.t
-	history, err := status.Call(s.daemons[0].adminAddr, []string{"history"}, nil, putTimeout)
+	history, err := status.SendCommand(s.daemons[0].adminAddr, []string{"history"}, nil, putTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/tuliprock/faultschedule_operations_test.go
+++ b/cmd/tuliprock/faultschedule_operations_test.go
@@ -72,7 +72,7 @@
 // as empty. A read that fails for another reason is not recorded.
 func (s *faultSchedule) readFlag(d int) {
 	calledAt := s.elapsed()
-	result, err := status.Call(s.daemons[d].adminAddr, []string{"show", flagName}, nil, putTimeout)
+	result, err := status.SendCommand(s.daemons[d].adminAddr, []string{"show", flagName}, nil, putTimeout)
 	value := ""
 	if err == nil {
 		value = string(result.Body)
--- a/cmd/tuliprock/hotrestartharness_test.go
+++ b/cmd/tuliprock/hotrestartharness_test.go
@@ -103,9 +103,9 @@
 func (h *hotRestartHarness) memberList() string {
 	var members []string
 	for i, e := range h.endpoints {
-		members = append(members, testpeer.Member(h.endpointIDs[i], e.Addr, "Ready"))
+		members = append(members, testpeer.EncodeMember(h.endpointIDs[i], e.Addr, "Ready"))
 	}
-	return testpeer.Members(7, true, members...)
+	return testpeer.EncodeMembers(7, true, members...)
 }
 
 // harnessDaemon is a process of the daemon that the harness started.
@@ -122,7 +122,7 @@
 	d := &harnessDaemon{adminAddr: testpeer.FreeAddress(h.t)}
 	// The endpoint list in the configuration is empty, and older than that of the discovery service. Only if the service is
 	// silent, the configuration has the complete list.
-	configuredList := testpeer.Members(1, true)
+	configuredList := testpeer.EncodeMembers(1, true)
 	if h.isDiscoverySilent {
 		configuredList = h.memberList()
 	}
--- a/cmd/tuliprock/load.go
+++ b/cmd/tuliprock/load.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		return err
 	}
-	request, err := loadgen.RequestTemplate(c.Method, c.Target, header, []byte(c.Body))
+	request, err := loadgen.NewRequestTemplate(c.Method, c.Target, header, []byte(c.Body))
 	if err != nil {
 		return fmt.Errorf("--target: %w", err)
 	}
--- a/cmd/tuliprock/peers.go
+++ b/cmd/tuliprock/peers.go
@@ -29,7 +29,7 @@
 		fmt.Fprintf(&rows, "it stays out of the fleet: an elder daemon of its name is at %s\n", f.ElderAddr)
 	}
 	for _, p := range f.Peers {
-		timeInState := (time.Duration(p.SinceMs) * time.Millisecond).Round(100 * time.Millisecond)
+		timeInState := (time.Duration(p.StateAgeMs) * time.Millisecond).Round(100 * time.Millisecond)
 		fmt.Fprintf(&rows, "%s\t%s\t%s\tfor %v\n", p.Name, p.Address, p.State, timeInState)
 	}
 	return writeColumns(w, rows.String())
--- a/cmd/tuliprock/rehearse.go
+++ b/cmd/tuliprock/rehearse.go
@@ -44,7 +44,7 @@
 func (c *rehearseCommand) loadDay() (*rehearse.Day, error) {
 	name := c.Day
 	if name == "" {
-		name = rehearsals.Default
+		name = rehearsals.DefaultDay
 	}
 	if text, ok := rehearsals.Text(name); ok {
 		return rehearse.Parse(name+".toml", text)
@@ -133,7 +133,7 @@
 		for _, balancer := range balancers {
 			options := c.options(plan, balancer, executable)
 			bar := newProgressBar(plan, balancer)
-			options.Progress = bar.show
+			options.OnProgress = bar.show
 			result, err := rehearse.Run(ctx, plan, options)
 			bar.finish()
 			if errors.Is(err, context.Canceled) {
@@ -153,9 +153,9 @@
 // name of a baseline policy.
 func (c *rehearseCommand) options(plan *rehearse.Plan, balancer, executable string) rehearse.Options {
 	isOwnBalancer := balancer == rehearse.OwnBalancer
-	options := rehearse.Options{Command: func() *exec.Cmd { return exec.Command(executable) }, UsesOperatorsFile: c.UseServeCommand && isOwnBalancer}
+	options := rehearse.Options{NewCommand: func() *exec.Cmd { return exec.Command(executable) }, UsesOperatorsFile: c.UseServeCommand && isOwnBalancer}
 	if !isOwnBalancer {
-		options.Command = func() *exec.Cmd { return exec.Command(executable, "plain", balancer) }
+		options.NewCommand = func() *exec.Cmd { return exec.Command(executable, "plain", balancer) }
 	}
 	if c.LogDir != "" {
 		options.LogDir = filepath.Join(c.LogDir, fmt.Sprintf("%s-%d-%v-%s", plan.Day.Name, plan.Seed, plan.DemandFactor, balancer))
@@ -180,7 +180,7 @@
 	for _, r := range ownResults {
 		switch {
 		case !r.Valid:
-			return verdictError{fmt.Errorf("%s is not valid: %s", r.Day, r.Invalid[0])}
+			return verdictError{fmt.Errorf("%s is not valid: %s", r.Day, r.InvalidReasons[0])}
 		case !r.Held:
 			return verdictError{fmt.Errorf("%s: a rule is broken", r.Day)}
 		}
--- a/cmd/tuliprock/settings_test.go
+++ b/cmd/tuliprock/settings_test.go
@@ -35,7 +35,7 @@
 
 // putDocument puts a document through the daemon, with an idempotency key and a timeout.
 func (d *clusterDaemon) putDocument(id, name string, body []byte, timeout time.Duration) (*status.CommandResult, error) {
-	return status.Call(d.adminAddr, []string{"put", id, "-", name, strconv.Itoa(len(body))}, body, timeout)
+	return status.SendCommand(d.adminAddr, []string{"put", id, "-", name, strconv.Itoa(len(body))}, body, timeout)
 }
 
 // sendRequest sends a GET request through the daemon, with a request id unless id is empty, and returns the response's status
--- a/cmd/tuliprock/simulations.go
+++ b/cmd/tuliprock/simulations.go
@@ -15,7 +15,7 @@
 }
 
 // Run executes the command "council". The parser kong calls it with the flags and arguments set.
-func (c *consensusSimCommand) Run() error { return raftsim.Tables(os.Stdout, c.Daemons, c.Seed) }
+func (c *consensusSimCommand) Run() error { return raftsim.WriteTables(os.Stdout, c.Daemons, c.Seed) }
 
 // failureDetectorSimCommand measures the failure detector of simulated clusters. On the command line it is named
 // "detector".
@@ -25,4 +25,6 @@
 }
 
 // Run executes the command "detector". The parser kong calls it with the flags and arguments set.
-func (c *failureDetectorSimCommand) Run() error { return swimsim.Tables(os.Stdout, c.Nodes, c.Seed) }
+func (c *failureDetectorSimCommand) Run() error {
+	return swimsim.WriteTables(os.Stdout, c.Nodes, c.Seed)
+}
--- a/cmd/tuliprock/stand_in.go
+++ b/cmd/tuliprock/stand_in.go
@@ -35,7 +35,7 @@
 		if err != nil {
 			return fmt.Errorf("stand-in: %w", err)
 		}
-		server := fake.EchoServer(listener.Addr().String())
+		server := fake.NewEchoServer(listener.Addr().String())
 		servers = append(servers, server)
 		fmt.Fprintln(os.Stderr, "stand-in node at", listener.Addr())
 		go func() {
--- a/cmd/tuliprock/streaming_test.go
+++ b/cmd/tuliprock/streaming_test.go
@@ -170,7 +170,7 @@
 func measureSmallRequests(t *testing.T, addr string, duration time.Duration) (p50, p99, shedFraction float64) {
 	t.Helper()
 	const connections = 500
-	request, err := loadgen.RequestTemplate(http.MethodGet, "http://"+addr+"/item?give=512", nil, nil)
+	request, err := loadgen.NewRequestTemplate(http.MethodGet, "http://"+addr+"/item?give=512", nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/deploy/rehearsals/rehearsals.go
+++ b/deploy/rehearsals/rehearsals.go
@@ -12,8 +12,8 @@
 //go:embed *.toml
 var files embed.FS
 
-// Default is the name of the day that "tuliprock rehearse" simulates if the command names none.
-const Default = "mini"
+// DefaultDay is the name of the day that "tuliprock rehearse" simulates if the command names none.
+const DefaultDay = "mini"
 
 // Text returns the contents of an embedded day file, and whether there is a day of this name.
 func Text(name string) ([]byte, bool) {
--- a/internal/cluster/consensus/command.go
+++ b/internal/cluster/consensus/command.go
@@ -22,12 +22,12 @@
 	Put             *DocumentPut     `json:"put,omitempty"`      // document to write
 	Remove          string           `json:"remove,omitempty"`   // name of the document to remove
 	Revert          *DocumentVersion `json:"back,omitempty"`     // document to revert, and the version whose body the document gets
-	Force           uint64           `json:"force,omitempty"`    // pending version to activate even if some daemons reject it
-	Skip            uint64           `json:"skip,omitempty"`     // pending version to replace by the latest one
+	ForceVersion    uint64           `json:"force,omitempty"`    // pending version to activate even if some daemons reject it
+	SkipVersion     uint64           `json:"skip,omitempty"`     // pending version to replace by the latest one
 	ChangeVoter     *VoterChange     `json:"seat,omitempty"`     // voter slot to assign to a daemon or to remove
 	ClaimSlot       *SlotClaim       `json:"mark,omitempty"`     // voter slot to bind to a disk
 	Read            *DocumentVersion `json:"read,omitempty"`     // document to read; with an empty Name: the history of all documents is read
-	Activate        uint64           `json:"activate,omitempty"` // pending version that becomes the active version
+	ActivateVersion uint64           `json:"activate,omitempty"` // pending version that becomes the active version
 }
 
 // Encode returns the command in the form in which the log stores it. It sets the command's Format.
--- a/internal/cluster/consensus/encoding_test.go
+++ b/internal/cluster/consensus/encoding_test.go
@@ -57,8 +57,8 @@
 			"command",
 			Command{
 				Format: 2, ID: "i", ExpectedVersion: &expectedVersion, ProposedBy: "op", AtUnixMilli: 9,
-				Put: &DocumentPut{"a", []byte("xy")}, Remove: "r", Revert: &DocumentVersion{"a", 1}, Force: 1, Skip: 2,
-				ChangeVoter: &VoterChange{"v", true}, ClaimSlot: &SlotClaim{7, "m"}, Read: &DocumentVersion{"a", 0}, Activate: 5,
+				Put: &DocumentPut{"a", []byte("xy")}, Remove: "r", Revert: &DocumentVersion{"a", 1}, ForceVersion: 1, SkipVersion: 2,
+				ChangeVoter: &VoterChange{"v", true}, ClaimSlot: &SlotClaim{7, "m"}, Read: &DocumentVersion{"a", 0}, ActivateVersion: 5,
 			},
 			`{"format":2,"id":"i","expect":3,"by":"op","at":9,` +
 				`"put":{"name":"a","body":"eHk="},"remove":"r","back":{"name":"a","version":1},"force":1,"skip":2,` +
@@ -78,7 +78,7 @@
 		{
 			"state",
 			State{
-				Version: 1, Pending: 2, Active: 3, Forced: 4,
+				Version: 1, PendingVersion: 2, ActiveVersion: 3, ForcedVersion: 4,
 				Docs: map[string]Document{"a": document}, PendingDocs: map[string]Document{}, ActiveDocs: map[string]Document{},
 				History: []HistoryEntry{entry}, RetainedDocs: []Document{document},
 				RecentResults: []recentResult{{"i", CommandResult{Version: 1}}},
--- a/internal/cluster/consensus/interleaving_test.go
+++ b/internal/cluster/consensus/interleaving_test.go
@@ -37,7 +37,7 @@
 	tb.Helper()
 	x := &exploredCluster{state: NewState(), now: time.Minute}
 	x.apply(tb, Command{ID: "a", Put: &DocumentPut{"x", nil}})
-	x.apply(tb, Command{Activate: 1})
+	x.apply(tb, Command{ActivateVersion: 1})
 	x.manager = NewLeaseManager(x.now-time.Minute, exploredLeaseConfig)
 	for daemon := range x.holders {
 		x.holders[daemon] = NewLeaseHolder(fmt.Sprint(daemon), exploredLeaseConfig, 0, nil)
@@ -112,7 +112,7 @@
 		if version == 0 {
 			return false
 		}
-		x.apply(tb, Command{Activate: version})
+		x.apply(tb, Command{ActivateVersion: version})
 	case step == stepShortDelay:
 		x.now += 300 * time.Millisecond
 	default:
--- a/internal/cluster/consensus/lease_manager.go
+++ b/internal/cluster/consensus/lease_manager.go
@@ -53,18 +53,18 @@
 func (m *LeaseManager) Grant(now time.Duration, r LeaseRequest, state *State) LeaseGrant {
 	grant := LeaseGrant{
 		Seq:                r.Seq,
-		Version:            state.Active,
-		PendingVersion:     state.Pending,
+		Version:            state.ActiveVersion,
+		PendingVersion:     state.PendingVersion,
 		Duration:           m.leaseDuration(&r, state),
 		SlotHolders:        state.Voters(),
 		ActiveVoters:       state.activeVoterNames(),
 		FullyActiveVersion: m.fullyActiveVersion,
 		Lagging:            m.lagging[:min(len(m.lagging), maxLagging)],
 	}
-	if r.ReadyVersion < state.Active && r.RejectedVersion < state.Active {
+	if r.ReadyVersion < state.ActiveVersion && r.RejectedVersion < state.ActiveVersion {
 		grant.ActiveDocs = state.ActiveDocs
 	}
-	if r.ReadyVersion < state.Pending && r.RejectedVersion < state.Pending {
+	if r.ReadyVersion < state.PendingVersion && r.RejectedVersion < state.PendingVersion {
 		grant.PendingDocs = state.PendingDocs
 	}
 	m.recordGrant(now, r, grant.Duration)
@@ -75,7 +75,7 @@
 // active version, or that can't act on a pending version that was forced.
 func (m *LeaseManager) leaseDuration(r *LeaseRequest, state *State) time.Duration {
 	switch {
-	case r.ReadyVersion < state.Active || isExcludedByForce(state, r):
+	case r.ReadyVersion < state.ActiveVersion || isExcludedByForce(state, r):
 		return 0
 	case state.hasPendingVersion():
 		return m.config.ShortDuration
@@ -120,7 +120,7 @@
 	case !state.hasPendingVersion():
 		return 0
 	case m.config.SkipActivationWait:
-		return state.Pending
+		return state.PendingVersion
 	case !m.predecessorsExpired(now):
 		return 0
 	}
@@ -129,19 +129,19 @@
 			return 0
 		}
 	}
-	return state.Pending
+	return state.PendingVersion
 }
 
 // VersionToSkip returns the pending version if the latest version is to take its place, else 0. The pending version is to
 // be skipped if some daemon rejects it, it was not forced, and a later version exists. No daemon ever acts on a version
 // that was skipped.
 func (m *LeaseManager) VersionToSkip(now time.Duration, state *State) uint64 {
-	if !state.hasPendingVersion() || state.Version == state.Pending || state.Forced >= state.Pending {
+	if !state.hasPendingVersion() || state.Version == state.PendingVersion || state.ForcedVersion >= state.PendingVersion {
 		return 0
 	}
 	for _, d := range m.daemons {
 		if rejectsPending(state, &d.request) && now < d.expiresAt() {
-			return state.Pending
+			return state.PendingVersion
 		}
 	}
 	return 0
@@ -163,7 +163,7 @@
 			continue
 		case state.hasPendingVersion():
 			reason = m.activationWaitReason(now, state, d)
-		case d.request.InstalledVersion < state.Active:
+		case d.request.InstalledVersion < state.ActiveVersion:
 			reason = fmt.Sprintf("it acts on version %d yet", d.request.InstalledVersion)
 		}
 		if reason != "" {
@@ -182,11 +182,11 @@
 	case now >= expiresAt:
 		return ""
 	case isExcludedByForce(state, &d.request):
-		return fmt.Sprintf("it can't act on version %d, which was forced: its lease ends", state.Pending)
+		return fmt.Sprintf("it can't act on version %d, which was forced: its lease ends", state.PendingVersion)
 	case rejectsPending(state, &d.request):
-		return fmt.Sprintf("it can't act on version %d: %s", state.Pending, d.request.RejectReason)
-	case d.request.ReadyVersion < state.Pending:
-		return fmt.Sprintf("it has not got version %d", state.Pending)
+		return fmt.Sprintf("it can't act on version %d: %s", state.PendingVersion, d.request.RejectReason)
+	case d.request.ReadyVersion < state.PendingVersion:
+		return fmt.Sprintf("it has not got version %d", state.PendingVersion)
 	case expiresAt > now+m.config.expiryWait(m.config.ShortDuration):
 		return "it may have a long lease"
 	}
@@ -199,7 +199,7 @@
 	if !m.predecessorsExpired(now) {
 		return 0
 	}
-	oldest := state.Active
+	oldest := state.ActiveVersion
 	for _, d := range m.daemons {
 		if now < d.expiresAt() {
 			oldest = min(oldest, d.request.InstalledVersion)
@@ -210,10 +210,10 @@
 
 // isExcludedByForce reports whether a daemon gets no lease because it rejects the pending version, which was forced.
 func isExcludedByForce(state *State, r *LeaseRequest) bool {
-	return state.hasPendingVersion() && state.Forced >= state.Pending && rejectsPending(state, r)
+	return state.hasPendingVersion() && state.ForcedVersion >= state.PendingVersion && rejectsPending(state, r)
 }
 
 // rejectsPending reports whether a daemon has reported that it can't act on the pending version.
 func rejectsPending(state *State, r *LeaseRequest) bool {
-	return r.ReadyVersion < state.Pending && r.RejectedVersion == state.Pending
+	return r.ReadyVersion < state.PendingVersion && r.RejectedVersion == state.PendingVersion
 }
--- a/internal/cluster/consensus/lease_test.go
+++ b/internal/cluster/consensus/lease_test.go
@@ -16,15 +16,15 @@
 	state := NewState()
 	for i, c := range []Command{
 		{ID: "a", Put: &DocumentPut{"x", []byte("1")}},
-		{Activate: 1},
+		{ActivateVersion: 1},
 		{ID: "b", Put: &DocumentPut{"x", []byte("2")}},
 	} {
 		if _, err := apply(tb, state, c); err != nil {
 			tb.Fatal(i, err)
 		}
 	}
-	if state.Active != 1 || state.Pending != 2 {
-		tb.Fatalf("active %d, pending %d: %+v", state.Active, state.Pending, state)
+	if state.ActiveVersion != 1 || state.PendingVersion != 2 {
+		tb.Fatalf("active %d, pending %d: %+v", state.ActiveVersion, state.PendingVersion, state)
 	}
 	return state
 }
@@ -32,7 +32,7 @@
 // withoutPendingVersion returns a copy of the State in which no version is pending, so that leases are long.
 func withoutPendingVersion(state *State) *State {
 	c := *state
-	c.Pending = c.Active
+	c.PendingVersion = c.ActiveVersion
 	return &c
 }
 
@@ -157,9 +157,9 @@
 	if m.VersionToSkip(now, state) != 2 {
 		t.Error("the rejected version is not skipped though a later one exists")
 	}
-	mustApply(t, state, Command{Skip: 2})
+	mustApply(t, state, Command{SkipVersion: 2})
 	requestLeases(2)
-	mustApply(t, state, Command{Force: 3})
+	mustApply(t, state, Command{ForceVersion: 3})
 	requestLeases(1)
 	if _, _, ok := rejecting.Valid(now); ok {
 		t.Error("the daemon that rejects the forced version has a lease")
@@ -169,7 +169,7 @@
 		t.Errorf("version to activate %d, want the forced version 3; lagging: %v",
 			m.VersionToActivate(now, state), m.laggingDaemons(now, state))
 	}
-	mustApply(t, state, Command{Activate: 3})
+	mustApply(t, state, Command{ActivateVersion: 3})
 	requestLeases(1)
 	if version, _, ok := accepting.Valid(now); version != 3 || !ok {
 		t.Errorf("the other daemon acts on %d, valid %v; want 3, true", version, ok)
@@ -184,7 +184,7 @@
 	}
 	mustApply(t, state, putCommand("x", "4"))
 	requestLeases(3)
-	mustApply(t, state, Command{Activate: m.VersionToActivate(now, state)})
+	mustApply(t, state, Command{ActivateVersion: m.VersionToActivate(now, state)})
 	requestLeases(3)
 	if version, _, ok := rejecting.Valid(now); version != 4 || !ok {
 		t.Errorf("with a version that it can act on, the daemon acts on %d, valid %v; want 4, true; lagging: %v",
--- a/internal/cluster/consensus/membership.go
+++ b/internal/cluster/consensus/membership.go
@@ -22,8 +22,8 @@
 
 // VoterChange assigns a voter slot to a daemon, or removes the daemon's slot.
 type VoterChange struct {
-	Name   string `json:"name"`          // name of the daemon whose slot is assigned or removed
-	Remove bool   `json:"out,omitempty"` // whether the daemon's slot is removed; false: a slot is assigned to the daemon
+	Name      string `json:"name"`          // name of the daemon whose slot is assigned or removed
+	IsRemoval bool   `json:"out,omitempty"` // whether the daemon's slot is removed; false: a slot is assigned to the daemon
 }
 
 // SlotClaim binds a voter slot to the disk of its daemon.
@@ -75,18 +75,18 @@
 func (s *State) applyVoterChange(c *VoterChange) (CommandResult, error) {
 	id := s.VoterID(c.Name)
 	hasSlot := id != 0
-	if hasSlot != c.Remove {
+	if hasSlot != c.IsRemoval {
 		return CommandResult{Version: s.Version, Unchanged: true}, nil
 	}
 	// A slot whose voter is not active may be removed at any time: raft does not count on its voter.
-	isInactiveRemoval := c.Remove && !s.ActiveVoters[id]
+	isInactiveRemoval := c.IsRemoval && !s.ActiveVoters[id]
 	if !isInactiveRemoval {
 		if err := s.checkVoterChange(c); err != nil {
 			return CommandResult{}, err
 		}
 	}
 	s.VoterSlots = maps.Clone(s.VoterSlots)
-	if c.Remove {
+	if c.IsRemoval {
 		s.DepartingVoters = map[uint64]string{}
 		if s.ActiveVoters[id] {
 			s.DepartingVoters[id] = c.Name
@@ -106,9 +106,9 @@
 	switch reason := s.voterChangeInProgress(); {
 	case reason != "":
 		return fmt.Errorf("%w: %s", ErrVoterChangeRejected, reason)
-	case c.Remove && len(s.VoterSlots) == 1:
+	case c.IsRemoval && len(s.VoterSlots) == 1:
 		return fmt.Errorf("%w: %s is the last", ErrVoterChangeRejected, c.Name)
-	case !c.Remove && len(s.VoterSlots) >= MaxVoters:
+	case !c.IsRemoval && len(s.VoterSlots) >= MaxVoters:
 		return fmt.Errorf("%w: there are %d already", ErrVoterChangeRejected, MaxVoters)
 	}
 	return nil
--- a/internal/cluster/consensus/membership_test.go
+++ b/internal/cluster/consensus/membership_test.go
@@ -101,10 +101,10 @@
 	if err := change(VoterChange{Name: "y"}); !errors.Is(err, ErrVoterChangeRejected) {
 		t.Errorf("change while another is in progress: error %v, want %v", err, ErrVoterChangeRejected)
 	}
-	if err := change(VoterChange{Name: "x", Remove: true}); err != nil {
+	if err := change(VoterChange{Name: "x", IsRemoval: true}); err != nil {
 		t.Errorf("removal of a voter that is not active: error %v, want none", err)
 	}
-	if err := change(VoterChange{Name: "v", Remove: true}); !errors.Is(err, ErrVoterChangeRejected) {
+	if err := change(VoterChange{Name: "v", IsRemoval: true}); !errors.Is(err, ErrVoterChangeRejected) {
 		t.Errorf("removal of the last voter: error %v, want %v", err, ErrVoterChangeRejected)
 	}
 	if err := change(VoterChange{Name: "x"}); err != nil {
--- a/internal/cluster/consensus/state.go
+++ b/internal/cluster/consensus/state.go
@@ -14,16 +14,16 @@
 // have equal States. The JSON names are stored in snapshots and must not change. The maps are replaced and never
 // modified, so that callers may keep them.
 type State struct {
-	Version       uint64              `json:"version"` // latest version of the documents; 0: no document was ever written
-	Pending       uint64              `json:"coming"`  // version to be activated next; equal to Active if no version is pending
-	Active        uint64              `json:"active"`  // version on which the daemons act; 0: none was activated yet
-	Forced        uint64              `json:"forced"`  // latest version to be activated even if daemons reject it
-	Docs          map[string]Document `json:"docs"`    // documents of Version, by name
-	PendingDocs   map[string]Document `json:"next"`    // documents of the pending version, by name
-	ActiveDocs    map[string]Document `json:"acted"`   // documents of the active version, by name
-	History       []HistoryEntry      `json:"history"` // latest changes, oldest first, at most maxHistoryEntries
-	RetainedDocs  []Document          `json:"kept"`    // replaced or removed documents that can be read or reverted to, oldest first
-	RecentResults []recentResult      `json:"ids"`     // results of commands with an ID, oldest first, at most maxRecentResults
+	Version        uint64              `json:"version"` // latest version of the documents; 0: no document was ever written
+	PendingVersion uint64              `json:"coming"`  // version to be activated next; equal to ActiveVersion if no version is pending
+	ActiveVersion  uint64              `json:"active"`  // version on which the daemons act; 0: none was activated yet
+	ForcedVersion  uint64              `json:"forced"`  // latest version to be activated even if daemons reject it
+	Docs           map[string]Document `json:"docs"`    // documents of Version, by name
+	PendingDocs    map[string]Document `json:"next"`    // documents of the pending version, by name
+	ActiveDocs     map[string]Document `json:"acted"`   // documents of the active version, by name
+	History        []HistoryEntry      `json:"history"` // latest changes, oldest first, at most maxHistoryEntries
+	RetainedDocs   []Document          `json:"kept"`    // replaced or removed documents that can be read or reverted to, oldest first
+	RecentResults  []recentResult      `json:"ids"`     // results of commands with an ID, oldest first, at most maxRecentResults
 
 	VoterSlots      map[uint64]string `json:"seats"`     // names of the daemons with a voter slot, by raft id
 	ActiveVoters    map[uint64]bool   `json:"sitting"`   // raft ids of the voters in raft's configuration, without learners
@@ -70,12 +70,12 @@
 	switch {
 	case c.Format > commandFormat:
 		return CommandResult{}, ErrUnknownCommand
-	case c.Activate > 0:
-		return s.applyActivate(c.Activate), nil
-	case c.Skip > 0:
-		return s.applySkip(c.Skip), nil
-	case c.Force > 0:
-		return s.applyForce(c.Force)
+	case c.ActivateVersion > 0:
+		return s.applyActivate(c.ActivateVersion), nil
+	case c.SkipVersion > 0:
+		return s.applySkip(c.SkipVersion), nil
+	case c.ForceVersion > 0:
+		return s.applyForce(c.ForceVersion)
 	case c.ChangeVoter != nil:
 		return s.applyVoterChange(c.ChangeVoter)
 	case c.ClaimSlot != nil:
@@ -88,35 +88,35 @@
 
 // applyActivate makes the pending version the active version. It has no effect if that version is not pending any more.
 func (s *State) applyActivate(version uint64) CommandResult {
-	if version == s.Pending && s.Active < s.Pending {
-		s.Active, s.ActiveDocs = s.Pending, s.PendingDocs
+	if version == s.PendingVersion && s.ActiveVersion < s.PendingVersion {
+		s.ActiveVersion, s.ActiveDocs = s.PendingVersion, s.PendingDocs
 		s.makeLatestPending()
 	}
-	return CommandResult{Version: s.Active}
+	return CommandResult{Version: s.ActiveVersion}
 }
 
 // applySkip makes the latest version the pending version in place of the given version, unless that version was forced.
 func (s *State) applySkip(version uint64) CommandResult {
-	if version == s.Pending && s.Active < s.Pending && s.Forced < s.Pending {
+	if version == s.PendingVersion && s.ActiveVersion < s.PendingVersion && s.ForcedVersion < s.PendingVersion {
 		s.makeLatestPending()
 	}
-	return CommandResult{Version: s.Pending}
+	return CommandResult{Version: s.PendingVersion}
 }
 
 // applyForce records that the pending version is to be activated even if some daemons reject it.
 func (s *State) applyForce(version uint64) (CommandResult, error) {
-	if version != s.Pending || s.Active == s.Pending {
+	if version != s.PendingVersion || s.ActiveVersion == s.PendingVersion {
 		return CommandResult{}, fmt.Errorf("%w: %d", ErrVersionNotPending, version)
 	}
-	s.Forced = version
+	s.ForcedVersion = version
 	return CommandResult{Version: version}, nil
 }
 
 // makeLatestPending makes the latest version, with its documents, the pending version.
-func (s *State) makeLatestPending() { s.Pending, s.PendingDocs = s.Version, s.Docs }
+func (s *State) makeLatestPending() { s.PendingVersion, s.PendingDocs = s.Version, s.Docs }
 
 // hasPendingVersion reports whether a version waits to be activated.
-func (s *State) hasPendingVersion() bool { return s.Pending > s.Active }
+func (s *State) hasPendingVersion() bool { return s.PendingVersion > s.ActiveVersion }
 
 // recordResult records the result of a command that has an ID, so that duplicates get the same result. It returns the
 // result.
--- a/internal/cluster/consensus/state_test.go
+++ b/internal/cluster/consensus/state_test.go
@@ -51,17 +51,17 @@
 			result, err := a.Apply(entry)
 			resultB, _ := b.Apply(entry)
 			version := result.Version
-			if version != resultB.Version || a.Version != b.Version || a.Active != b.Active || a.Pending != b.Pending ||
+			if version != resultB.Version || a.Version != b.Version || a.ActiveVersion != b.ActiveVersion || a.PendingVersion != b.PendingVersion ||
 				DigestDocuments(a.Docs) != DigestDocuments(b.Docs) || DigestDocuments(a.ActiveDocs) != DigestDocuments(b.ActiveDocs) {
 				t.Fatalf("after %s: two States that applied the same commands differ", entry)
 			}
-			if a.Version < before.Version || a.Active < before.Active || a.Active > a.Pending || a.Pending > a.Version ||
+			if a.Version < before.Version || a.ActiveVersion < before.ActiveVersion || a.ActiveVersion > a.PendingVersion || a.PendingVersion > a.Version ||
 				err != nil && a.Version != before.Version {
 				t.Fatalf("after %s: version %d, pending %d, active %d; before: %d, %d, %d; error %v; "+
 					"want no lower ones, active <= pending <= version, and no new version with an error", entry,
-					a.Version, a.Pending, a.Active, before.Version, before.Pending, before.Active, err)
+					a.Version, a.PendingVersion, a.ActiveVersion, before.Version, before.PendingVersion, before.ActiveVersion, err)
 			}
-			if c.Activate == 0 && err == nil {
+			if c.ActivateVersion == 0 && err == nil {
 				if first, ok := versionsByID[c.ID]; ok && first != version {
 					t.Fatalf("%s returns version %d, want %d as when it was first applied", entry, version, first)
 				}
@@ -78,7 +78,7 @@
 	names := rapid.SampledFrom([]string{"x", "y"})
 	switch rapid.IntRange(0, 3).Draw(t, "kind") {
 	case 0:
-		return Command{Activate: uint64(rapid.IntRange(1, 20).Draw(t, "version"))}
+		return Command{ActivateVersion: uint64(rapid.IntRange(1, 20).Draw(t, "version"))}
 	case 1:
 		c.Remove = names.Draw(t, "name")
 		return c
@@ -144,21 +144,21 @@
 	for range 3 {
 		mustApply(t, state, putCommand("a", fmt.Sprint(state.Version)))
 	}
-	if _, err := apply(t, state, Command{Force: 3}); !errors.Is(err, ErrVersionNotPending) {
+	if _, err := apply(t, state, Command{ForceVersion: 3}); !errors.Is(err, ErrVersionNotPending) {
 		t.Errorf("force of a version that is not pending: error %v, want %v", err, ErrVersionNotPending)
 	}
-	if mustApply(t, state, Command{Skip: 1}); state.Pending != 3 || state.Active != 0 {
-		t.Errorf("after skipping version 1: pending %d, active %d; want 3, 0", state.Pending, state.Active)
+	if mustApply(t, state, Command{SkipVersion: 1}); state.PendingVersion != 3 || state.ActiveVersion != 0 {
+		t.Errorf("after skipping version 1: pending %d, active %d; want 3, 0", state.PendingVersion, state.ActiveVersion)
 	}
-	if _, err := apply(t, state, Command{Force: 3}); err != nil || state.Forced != 3 {
-		t.Errorf("force of the pending version: forced %d, error %v; want 3, none", state.Forced, err)
+	if _, err := apply(t, state, Command{ForceVersion: 3}); err != nil || state.ForcedVersion != 3 {
+		t.Errorf("force of the pending version: forced %d, error %v; want 3, none", state.ForcedVersion, err)
 	}
 	mustApply(t, state, putCommand("a", "4"))
-	if mustApply(t, state, Command{Skip: 3}); state.Pending != 3 {
-		t.Errorf("pending version %d, want 3: a forced version is not skipped", state.Pending)
+	if mustApply(t, state, Command{SkipVersion: 3}); state.PendingVersion != 3 {
+		t.Errorf("pending version %d, want 3: a forced version is not skipped", state.PendingVersion)
 	}
-	mustApply(t, state, Command{Activate: 3})
-	if state.Active != 3 || state.Pending != 4 || string(state.ActiveDocs["a"].Body) != "2" {
+	mustApply(t, state, Command{ActivateVersion: 3})
+	if state.ActiveVersion != 3 || state.PendingVersion != 4 || string(state.ActiveDocs["a"].Body) != "2" {
 		t.Errorf("after the activation of version 3: %+v; want version 3 active and 4 pending", state)
 	}
 	laterFormatCommand := fmt.Appendf(nil, `{"format":%d,"put":{"name":"x"}}`, commandFormat+1)
@@ -180,7 +180,7 @@
 			case 0:
 				c = Command{Remove: name}
 			case 1:
-				c = Command{Activate: state.Pending}
+				c = Command{ActivateVersion: state.PendingVersion}
 			case 2:
 				c = Command{Revert: &DocumentVersion{name, state.Version / 2}}
 			}
@@ -208,7 +208,7 @@
 	})
 	state, body := NewState(), bytes.Repeat([]byte("x"), MaxDocumentBytes)
 	mustApply(t, state, Command{Put: &DocumentPut{"a", body}})
-	mustApply(t, state, Command{Activate: 1})
+	mustApply(t, state, Command{ActivateVersion: 1})
 	if encoded, err := state.Encode(); err != nil || len(encoded) > 3*MaxDocumentBytes/2 {
 		t.Errorf("%d bytes for a body of the latest, pending and active version, want at most %d; error %v",
 			len(encoded), 3*MaxDocumentBytes/2, err)
--- a/internal/cluster/consensus/voter.go
+++ b/internal/cluster/consensus/voter.go
@@ -176,11 +176,11 @@
 	}
 	v.leaseManager.Refresh(now, v.state)
 	if version := v.leaseManager.VersionToActivate(now, v.state); version > v.proposedVersion {
-		if v.Propose(&Command{Activate: version}) == nil {
+		if v.Propose(&Command{ActivateVersion: version}) == nil {
 			v.proposedVersion = version
 		}
 	} else if version := v.leaseManager.VersionToSkip(now, v.state); version > v.proposedVersion {
-		if v.Propose(&Command{Skip: version}) == nil {
+		if v.Propose(&Command{SkipVersion: version}) == nil {
 			v.proposedVersion = version
 		}
 	}
--- a/internal/cluster/raftnode/cluster_test.go
+++ b/internal/cluster/raftnode/cluster_test.go
@@ -135,7 +135,7 @@
 
 // changeVoters proposes at node i to add a daemon to the voters, or to remove it.
 func (c *testCluster) changeVoters(i int, name string, isRemoval bool) error {
-	_, err := c.nodes[i].Propose(c.t.Context(), consensus.Command{ChangeVoter: &consensus.VoterChange{Name: name, Remove: isRemoval}})
+	_, err := c.nodes[i].Propose(c.t.Context(), consensus.Command{ChangeVoter: &consensus.VoterChange{Name: name, IsRemoval: isRemoval}})
 	return err
 }
 
--- a/internal/cluster/raftnode/leaseclient_test.go
+++ b/internal/cluster/raftnode/leaseclient_test.go
@@ -61,7 +61,7 @@
 			strings.Contains(leaderStatus.Lagging[0].Reason, "it is bad") &&
 			rejectingStatus.RejectedVersion == badVersion && rejectingStatus.RejectionReason == "it is bad"
 	})
-	if _, err := rejectingNode.Propose(t.Context(), consensus.Command{Force: badVersion}); err != nil {
+	if _, err := rejectingNode.Propose(t.Context(), consensus.Command{ForceVersion: badVersion}); err != nil {
 		t.Fatal(err)
 	}
 	waitActing(voterNode, badVersion)
--- a/internal/cluster/raftnode/node.go
+++ b/internal/cluster/raftnode/node.go
@@ -163,9 +163,9 @@
 // Valid returns the cluster's active version, if there is one.
 func (n *Node) FirstGrant() <-chan struct{} { return n.firstGrant }
 
-// Changed returns a channel that gets a value when Valid returns another version than before. Changes are merged into
+// VersionChanged returns a channel that gets a value when Valid returns another version than before. Changes are merged into
 // one value until the caller receives it.
-func (n *Node) Changed() <-chan struct{} { return n.versionChanged }
+func (n *Node) VersionChanged() <-chan struct{} { return n.versionChanged }
 
 // submit passes a function to the event loop and does not wait until it has run. It returns false, and the function is
 // not run, if ctx or the node ends first.
--- a/internal/cluster/raftnode/status.go
+++ b/internal/cluster/raftnode/status.go
@@ -52,7 +52,7 @@
 	}
 	voter, state := n.localVoter.voter, n.localVoter.voter.State()
 	s.IsVoter, s.IsLeader, s.Term = !voter.IsLearner(), voter.IsLeader(), voter.Term()
-	s.CommittedVersion, s.PendingVersion = state.Version, state.Pending
+	s.CommittedVersion, s.PendingVersion = state.Version, state.PendingVersion
 	if s.IsLeader {
 		s.Lagging = voter.LaggingDaemons()
 	}
--- a/internal/cluster/status/call_test.go
+++ b/internal/cluster/status/call_test.go
@@ -44,7 +44,7 @@
 func TestCallRepeatsTheSameRequestWhileNoMajorityResponds(t *testing.T) {
 	indeterminate := "FAILURE wrapped: " + consensus.ErrIndeterminate.Error() + "\n"
 	addr, requests := serveResponses(t, indeterminate, indeterminate, "answer version=7 same=false\nEOT\n")
-	got, err := Call(addr, []string{"put", "id", "-", "x", "0"}, nil, 10*time.Second)
+	got, err := SendCommand(addr, []string{"put", "id", "-", "x", "0"}, nil, 10*time.Second)
 	if err != nil || got.Version != 7 || got.Format != 1 {
 		t.Fatalf("got %+v, error %v; want version 7 and format 1", got, err)
 	}
@@ -60,7 +60,7 @@
 
 func TestCallReturnsIndeterminateErrorAfterRetryFor(t *testing.T) {
 	addr, requests := serveResponses(t, "FAILURE "+consensus.ErrIndeterminate.Error()+"\n")
-	_, err := Call(addr, []string{"history"}, nil, 0)
+	_, err := SendCommand(addr, []string{"history"}, nil, 0)
 	var indeterminate IndeterminateError
 	if !errors.As(err, &indeterminate) || err.Error() != addr+": "+consensus.ErrIndeterminate.Error() {
 		t.Errorf("got error %T %v, want an IndeterminateError with the address and ErrIndeterminate", err, err)
@@ -72,7 +72,7 @@
 
 func TestCallReturnsOtherFailuresAtOnce(t *testing.T) {
 	addr, requests := serveResponses(t, "FAILURE no such document\n")
-	_, err := Call(addr, []string{"show", "x"}, nil, 10*time.Second)
+	_, err := SendCommand(addr, []string{"show", "x"}, nil, 10*time.Second)
 	var indeterminate IndeterminateError
 	if err == nil || errors.As(err, &indeterminate) || !strings.HasSuffix(err.Error(), ": no such document") {
 		t.Errorf("got error %T %v, want one that ends with \": no such document\" and is no IndeterminateError", err, err)
--- a/internal/cluster/status/command.go
+++ b/internal/cluster/status/command.go
@@ -105,11 +105,11 @@
 // Unwrap returns the error of the last request that Call sent.
 func (e IndeterminateError) Unwrap() error { return e.error }
 
-// Call sends a command on the agreed documents to the daemon whose operators' address is addr. The command consists of the
+// SendCommand sends a command on the agreed documents to the daemon whose operators' address is addr. The command consists of the
 // arguments that follow "settings" on the request line, and the body of a put. While no majority of the voters responds,
 // Call retries with the same arguments, which must contain an ID if the command must not be carried out twice. It returns
 // an IndeterminateError if there is no result within retryFor, and any other error at once.
-func Call(addr string, args []string, body []byte, retryFor time.Duration) (*CommandResult, error) {
+func SendCommand(addr string, args []string, body []byte, retryFor time.Duration) (*CommandResult, error) {
 	deadline := time.Now().Add(retryFor)
 	for {
 		r := &CommandResult{Format: 1}
--- a/internal/cluster/status/fleet.go
+++ b/internal/cluster/status/fleet.go
@@ -26,7 +26,7 @@
 	Address     string `json:"address"`     // address and port to which other daemons send messages
 	State       string `json:"state"`       // state of the member: alive, suspect, failed or left
 	Incarnation uint64 `json:"incarnation"` // swim.Update.Incarnation of the member
-	SinceMs     int64  `json:"since_ms"`    // time since the member entered its state, in milliseconds
+	StateAgeMs  int64  `json:"since_ms"`    // time since the member entered its state, in milliseconds
 }
 
 // FleetFromView returns the Fleet for a view. now is the present instant by the failure detector's clock; daemonCount and
@@ -39,7 +39,7 @@
 	for _, m := range v.Members {
 		f.Peers = append(f.Peers, Peer{
 			Name: m.Name, Address: m.Addr.String(), State: m.State.String(), Incarnation: m.Incarnation,
-			SinceMs: max(now-m.StateSince, 0).Milliseconds(),
+			StateAgeMs: max(now-m.StateSince, 0).Milliseconds(),
 		})
 	}
 	return f
@@ -63,7 +63,7 @@
 	}
 	for _, p := range f.Peers {
 		if _, err := fmt.Fprintf(w, "peer name=%s address=%s state=%s incarnation=%d since_ms=%d\n",
-			p.Name, p.Address, p.State, p.Incarnation, p.SinceMs); err != nil {
+			p.Name, p.Address, p.State, p.Incarnation, p.StateAgeMs); err != nil {
 			return err
 		}
 	}
@@ -80,7 +80,7 @@
 		},
 		"peer": {
 			"name": &p.Name, "address": &p.Address, "state": &p.State, "incarnation": &p.Incarnation,
-			"since_ms": &p.SinceMs,
+			"since_ms": &p.StateAgeMs,
 		},
 	})
 	if err == nil && p.Name != "" {
--- a/internal/cluster/status/status_test.go
+++ b/internal/cluster/status/status_test.go
@@ -44,7 +44,7 @@
 	// A daemon of a later version may send more fields and more lines, which the parser must ignore.
 	extendedResponse := strings.Replace(text.String(), "view=7", "view=7 more=x", 1) + "news of a later version=1\n" + endOfResponse + "\n"
 	got, err := readFleet(strings.NewReader(extendedResponse))
-	if err != nil || !reflect.DeepEqual(got, want) || got.Peers[1].SinceMs != 1000 {
+	if err != nil || !reflect.DeepEqual(got, want) || got.Peers[1].StateAgeMs != 1000 {
 		t.Errorf("got %+v, error %v; want %+v, with 1000 ms since s2 failed", got, err, want)
 	}
 	for _, test := range []struct{ name, response, wantError string }{
--- a/internal/cluster/swim/message.go
+++ b/internal/cluster/swim/message.go
@@ -58,7 +58,7 @@
 
 // Envelope is a message to be sent, with its destination.
 type Envelope struct {
-	To      netip.AddrPort // address to which the message is sent
-	Stream  bool           // whether the message may be longer than a datagram, so that it must be sent in a stream
-	Message *Message       // message of the failure detector to be sent
+	To          netip.AddrPort // address to which the message is sent
+	NeedsStream bool           // whether the message may be longer than a datagram, so that it must be sent in a stream
+	Message     *Message       // message of the failure detector to be sent
 }
--- a/internal/cluster/swim/sync.go
+++ b/internal/cluster/swim/sync.go
@@ -42,7 +42,7 @@
 		}
 	}
 	m := &Message{Kind: k, From: n.self, Digest: n.digest, GossipQueueEmpty: !n.broadcasts.hasPending(), Updates: updates}
-	n.outbox = append(n.outbox, Envelope{To: to.Addr, Stream: true, Message: m})
+	n.outbox = append(n.outbox, Envelope{To: to.Addr, NeedsStream: true, Message: m})
 }
 
 // rejoin pings one random address at which no member is present: the address of a failed member, or an address in
--- a/internal/cluster/swim/testnetwork_test.go
+++ b/internal/cluster/swim/testnetwork_test.go
@@ -69,7 +69,7 @@
 func (network *testNetwork) collectAndCheck(t testingT, n *Node) {
 	t.Helper()
 	for _, e := range n.TakeMessages() {
-		if len(e.Message.Updates) > MaxPiggyback+1 && !e.Stream {
+		if len(e.Message.Updates) > MaxPiggyback+1 && !e.NeedsStream {
 			t.Fatalf("%d updates are piggybacked on a message, want at most %d", len(e.Message.Updates), MaxPiggyback+1)
 		}
 		network.inTransit = append(network.inTransit, e)
--- a/internal/cluster/transport/authentication_test.go
+++ b/internal/cluster/transport/authentication_test.go
@@ -93,7 +93,7 @@
 		node.Tick(now)
 		node.NextTick()
 		for _, e := range node.TakeMessages() {
-			if !e.Stream {
+			if !e.NeedsStream {
 				maxBytes = max(maxBytes, len(appendSwimPacket(nil, options, 1<<63, e.Message)))
 			}
 		}
--- a/internal/cluster/transport/eventloop.go
+++ b/internal/cluster/transport/eventloop.go
@@ -115,7 +115,7 @@
 // send sends a message of the failure detector, in a datagram if it fits and otherwise in a stream.
 func (l *eventLoop) send(e *swim.Envelope) {
 	t, options := l.transport, l.transport.options.Load()
-	if !e.Stream || len(e.Message.Updates) <= swim.MaxPiggyback {
+	if !e.NeedsStream || len(e.Message.Updates) <= swim.MaxPiggyback {
 		l.packetBuffer = appendSwimPacket(l.packetBuffer[:0], options, t.lastSequence.Add(1), e.Message)
 		if len(l.packetBuffer) <= MaxDatagramBytes {
 			_ = t.sendDatagram(e.To, l.packetBuffer) // the failure detector tolerates lost messages
--- a/internal/config/cluster_spec.go
+++ b/internal/config/cluster_spec.go
@@ -13,16 +13,16 @@
 
 // ClusterSpec is the section [fleet] of an operators' file, converted to the types that the cluster's packages take.
 type ClusterSpec struct {
-	Name                string           // name of this daemon in the cluster
-	ClusterName         string           // name of the cluster, the same on all of its daemons
-	Listen              netip.AddrPort   // address to listen on, for UDP and TCP
-	Advertise           netip.AddrPort   // address that other daemons send to; the zero value stands for Listen
-	Join                []netip.AddrPort // addresses of other daemons to contact first
-	KeyFile             string           // path of the shared key; empty if messages are not authenticated
-	Voters              []string         // names of the daemons that vote in consensus
-	Timing              swim.Options     // intervals and timeouts of the failure detection; other options are not set
-	Consensus           *ConsensusSpec   // settings of consensus; nil if this daemon takes no part in it
-	DividesByMembership bool             // the cluster's membership determines how many daemons share the pools, and the index of this daemon
+	Name               string           // name of this daemon in the cluster
+	ClusterName        string           // name of the cluster, the same on all of its daemons
+	Listen             netip.AddrPort   // address to listen on, for UDP and TCP
+	Advertise          netip.AddrPort   // address that other daemons send to; the zero value stands for Listen
+	Join               []netip.AddrPort // addresses of other daemons to contact first
+	KeyFile            string           // path of the shared key; empty if messages are not authenticated
+	Voters             []string         // names of the daemons that vote in consensus
+	Timing             swim.Options     // intervals and timeouts of the failure detection; other options are not set
+	Consensus          *ConsensusSpec   // settings of consensus; nil if this daemon takes no part in it
+	SharesByMembership bool             // the cluster's membership determines how many daemons share the pools, and the index of this daemon
 }
 
 // ConsensusSpec says how a daemon takes part in consensus.
@@ -39,9 +39,9 @@
 	}
 	spec := &ClusterSpec{
 		Name: c.Name, ClusterName: c.ClusterName, Listen: netip.MustParseAddrPort(c.Listen), KeyFile: c.KeyFile,
-		Voters:              slices.Clone(c.Voters),
-		Timing:              swim.Options{ProbeInterval: c.ProbeInterval, ProbeTimeout: c.ProbeTimeout, SuspicionTimeout: c.SuspicionTimeout},
-		DividesByMembership: f.dividesByMembership,
+		Voters:             slices.Clone(c.Voters),
+		Timing:             swim.Options{ProbeInterval: c.ProbeInterval, ProbeTimeout: c.ProbeTimeout, SuspicionTimeout: c.SuspicionTimeout},
+		SharesByMembership: f.dividesByMembership,
 	}
 	if c.Advertise != "" {
 		spec.Advertise = netip.MustParseAddrPort(c.Advertise)
@@ -68,7 +68,7 @@
 	if len(s.Voters) > 0 {
 		parts = append(parts, "voters "+strings.Join(s.Voters, " "))
 	}
-	if s.DividesByMembership {
+	if s.SharesByMembership {
 		parts = append(parts, "daemons and index by who is there")
 	}
 	if s.Consensus != nil {
--- a/internal/config/file_service.go
+++ b/internal/config/file_service.go
@@ -56,7 +56,7 @@
 		Name: p.Name, Settings: f.balanceSettings(p, classes), Source: f.sourceSpec(p),
 		Connections: p.Connections, DialTimeout: p.DialTimeout, IdleTimeout: p.IdleTimeout, DialsRatherThanWaits: true,
 		StartsAtLastByte: p.StartAt == startAtLastByte, MaxResponseBytes: p.MaxResponseBytes,
-		StreamPace: body.MinimumRate{IdleTimeout: p.StreamIdleTimeout, BytesPerSecond: p.MinStreamRate}, BufferedResponseTimeout: p.StreamIdleTimeout,
+		MinStreamRate: body.MinimumRate{IdleTimeout: p.StreamIdleTimeout, BytesPerSecond: p.MinStreamRate}, BufferedResponseTimeout: p.StreamIdleTimeout,
 	}
 }
 
--- a/internal/config/listener.go
+++ b/internal/config/listener.go
@@ -28,9 +28,9 @@
 
 	Descriptor int `toml:"-"` // descriptor of a listening socket inherited from the platform; 0 to open a socket
 
-	// RawTargets is whether request targets are matched and forwarded without normalization. It is set only for the platform, whose
+	// UsesRawTargets is whether request targets are matched and forwarded without normalization. It is set only for the platform, whose
 	// contract demands it.
-	RawTargets bool
+	UsesRawTargets bool
 }
 
 // Default values and bounds of the fields of a Listener. The defaults apply on the platform too, unless platformListener sets others.
--- a/internal/config/platform_service.go
+++ b/internal/config/platform_service.go
@@ -69,7 +69,7 @@
 
 func (c Config) platformListener(connections int) Listener {
 	l := defaultListener()
-	l.Name, l.Address, l.Connections, l.RawTargets = platformName, c.Listen, connections, true
+	l.Name, l.Address, l.Connections, l.UsesRawTargets = platformName, c.Listen, connections, true
 	l.Forwarded, l.RetryAfter = forwardedLeave, retryAfterFraction
 	l.HeadTimeout, l.BodyTimeout, l.BodyBytes = platformHeadTimeout, platformBodyTimeout, platformBodyBytes
 	l.StreamIdleTimeout, l.MinStreamRate = platformStreamIdleTimeout, platformMinStreamRate
@@ -79,9 +79,9 @@
 func (c Config) platformPool(connections int, settings balance.Settings) PoolSpec {
 	return PoolSpec{
 		Name: platformName, Settings: settings, Source: SourceSpec{Agent: c.Discovery, LastUpdate: c.LastUpdate},
-		Connections: connections, DialTimeout: c.Settings.DialTimeout, IdleTimeout: c.Settings.ConnIdle,
+		Connections: connections, DialTimeout: c.Settings.DialTimeout, IdleTimeout: c.Settings.IdleConnectionTimeout,
 		StartsAtLastByte: true, AcceptsOnlyStatusOK: true, MaxResponseBytes: platformBodyBytes,
-		StreamPace: body.MinimumRate{IdleTimeout: platformStreamIdleTimeout},
+		MinStreamRate: body.MinimumRate{IdleTimeout: platformStreamIdleTimeout},
 	}
 }
 
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	if c.Name != "n3" || c.Limits != (Limits{1, 128, 512}) || *c.LastUpdate.Version != 41 || c.Settings.Seed != 0x8c1f30d27a5be964 ||
-		c.Settings.ConnIdle != 30*time.Second || c.Settings.DialTimeout != 200*time.Millisecond {
+		c.Settings.IdleConnectionTimeout != 30*time.Second || c.Settings.DialTimeout != 200*time.Millisecond {
 		t.Errorf("parsed %+v, want the values of validConfig", c)
 	}
 }
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -38,7 +38,7 @@
 	DialTimeout, IdleTimeout time.Duration    // time limits for dialing, and for a connection without requests
 	StartsAtLastByte         bool             // endpoints start on a request only after its last byte has arrived
 	MaxResponseBytes         int64            // maximum size of a response body in bytes; 0 for no limit
-	StreamPace               body.MinimumRate // slowest pace at which an endpoint may send or receive a streaming body
+	MinStreamRate            body.MinimumRate // slowest pace at which an endpoint may send or receive a streaming body
 
 	// BufferedResponseTimeout limits the time from the first to the last byte of a buffered response; values under 0.5 s are
 	// treated as 0.5 s. On the platform it is 0, since responses there take 23 ms at most.
--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -39,7 +39,7 @@
 // serveScript starts an agent that responds to each request with the next step, and sends nothing once all steps are used up.
 func serveScript(t *testing.T, steps ...string) (addr string, queries chan string) {
 	t.Helper()
-	agent := &testpeer.ScriptedAgent{Steps: steps, Queries: make(chan string, 100)}
+	agent := &testpeer.ScriptedAgent{Responses: steps, Queries: make(chan string, 100)}
 	return serveHandler(t, agent), agent.Queries
 }
 
@@ -83,15 +83,15 @@
 
 func TestLostWatchResumesAfterLastVersion(t *testing.T) {
 	f := startClient(t, 41, nil,
-		"\n"+testpeer.Members(43, false, testpeer.Member("a", "127.0.0.1:1", "Terminating"))+"\n\n"+testpeer.Members(44, false)+"\n",
-		testpeer.Members(50, true, testpeer.Member("b", "127.0.0.1:2", "Ready"))+"\nSILENT")
+		"\n"+testpeer.EncodeMembers(43, false, testpeer.EncodeMember("a", "127.0.0.1:1", "Terminating"))+"\n\n"+testpeer.EncodeMembers(44, false)+"\n",
+		testpeer.EncodeMembers(50, true, testpeer.EncodeMember("b", "127.0.0.1:2", "Ready"))+"\nSILENT")
 	f.expectVersions(t, 43, 44, 50)
 	f.expectQueries(t, "watch=1&after=41", "watch=1&after=44")
 }
 
 func TestSilentWatchIsReopened(t *testing.T) {
 	f := startClient(t, 7, func(c *AgentClient) { c.idleTimeout = 200 * time.Millisecond },
-		"\nSILENT", testpeer.Members(8, false)+"\nSILENT")
+		"\nSILENT", testpeer.EncodeMembers(8, false)+"\nSILENT")
 	f.expectQueries(t, "watch=1&after=7", "watch=1&after=7")
 	f.expectVersions(t, 8)
 }
@@ -102,14 +102,14 @@
 		"no JSON":          "{nonsense",
 		"no entries":       `{"version":42,"full":true}`,
 		"no version":       `{"full":false,"servers":[]}`,
-		"an unknown state": testpeer.Members(42, false, testpeer.Member("a", "127.0.0.1:1", "Asleep")),
-		"no address":       testpeer.Members(42, false, testpeer.Member("a", "", "Ready")),
-		"a bad address":    testpeer.Members(42, false, testpeer.Member("a", "127.0.0.1:http", "Ready")),
-		"no id":            testpeer.Members(42, false, testpeer.Member("", "127.0.0.1:1", "Ready")),
-		"an older version": testpeer.Members(40, false),
+		"an unknown state": testpeer.EncodeMembers(42, false, testpeer.EncodeMember("a", "127.0.0.1:1", "Asleep")),
+		"no address":       testpeer.EncodeMembers(42, false, testpeer.EncodeMember("a", "", "Ready")),
+		"a bad address":    testpeer.EncodeMembers(42, false, testpeer.EncodeMember("a", "127.0.0.1:http", "Ready")),
+		"no id":            testpeer.EncodeMembers(42, false, testpeer.EncodeMember("", "127.0.0.1:1", "Ready")),
+		"an older version": testpeer.EncodeMembers(40, false),
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := startClient(t, 41, nil, line+"\n", testpeer.Members(60, true), testpeer.Members(61, false)+"\nSILENT")
+			f := startClient(t, 41, nil, line+"\n", testpeer.EncodeMembers(60, true), testpeer.EncodeMembers(61, false)+"\nSILENT")
 			f.expectVersions(t, 60, 61)
 			f.expectQueries(t, "watch=1&after=41", "", "watch=1&after=60")
 		})
@@ -118,7 +118,7 @@
 
 func TestWatchEndIsReportedWhenSubscriptionIsRequired(t *testing.T) {
 	f := startClient(t, 41, func(c *AgentClient) { c.mustSubscribe = true },
-		testpeer.Members(42, false)+"\n", testpeer.Members(43, false)+"\nSILENT")
+		testpeer.EncodeMembers(42, false)+"\n", testpeer.EncodeMembers(43, false)+"\nSILENT")
 	f.Subscribe()
 	f.expectVersions(t, 42)
 	<-f.watchEnds
@@ -132,9 +132,9 @@
 func TestSwitchAgentFetchesListFromNewAddress(t *testing.T) {
 	for name, mustSubscribe := range map[string]bool{"pushed": false, "subscribed": true} {
 		t.Run(name, func(t *testing.T) {
-			f := startClient(t, 41, func(c *AgentClient) { c.mustSubscribe = mustSubscribe; c.Subscribe() }, testpeer.Members(42, false)+"\nSILENT")
+			f := startClient(t, 41, func(c *AgentClient) { c.mustSubscribe = mustSubscribe; c.Subscribe() }, testpeer.EncodeMembers(42, false)+"\nSILENT")
 			f.expectVersions(t, 42)
-			addr, queries := serveScript(t, testpeer.Members(7, true), testpeer.Members(8, false)+"\nSILENT")
+			addr, queries := serveScript(t, testpeer.EncodeMembers(7, true), testpeer.EncodeMembers(8, false)+"\nSILENT")
 			f.SwitchAgent(addr)
 			f.expectVersions(t, 7, 8)
 			f.queries = queries
@@ -149,7 +149,7 @@
 // SwitchAgent may be called before an earlier call is handled, with the address of an agent that sends nothing, and with the address
 // of the current agent.
 func TestLastOfManySwitchAgentCallsTakesEffect(t *testing.T) {
-	f := startClient(t, 41, nil, testpeer.Members(42, false)+"\nSILENT")
+	f := startClient(t, 41, nil, testpeer.EncodeMembers(42, false)+"\nSILENT")
 	f.expectVersions(t, 42)
 	silentAddr, silentQueries := serveScript(t)
 	f.SwitchAgent(silentAddr)
@@ -157,7 +157,7 @@
 	watched := make(chan bool, 100)
 	addr := serveHandler(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery == "" {
-			io.WriteString(w, testpeer.Members(7, true))
+			io.WriteString(w, testpeer.EncodeMembers(7, true))
 			return
 		}
 		watched <- true
--- a/internal/discovery/dns.go
+++ b/internal/discovery/dns.go
@@ -25,8 +25,8 @@
 // DNSOptions configure a DNS source: which name is polled, at which server and how often.
 type DNSOptions struct {
 	Name           string
-	UseSRV         bool          // look up SRV records, which name hosts and ports; otherwise A and AAAA records
-	Port           int           // port of all members; unused if UseSRV is set
+	UsesSRV        bool          // look up SRV records, which name hosts and ports; otherwise A and AAAA records
+	Port           int           // port of all members; unused if UsesSRV is set
 	Server         string        // host:port of the DNS server; empty for the system's resolvers
 	MinTTL, MaxTTL time.Duration // bounds of the time to the next poll, which is the records' shortest time to live; MinTTL does not apply after a failed or empty poll
 }
@@ -100,7 +100,7 @@
 }
 
 func (p *dnsPoller) lookup(ctx context.Context) ([]endpointset.Member, error) {
-	if !p.options.UseSRV {
+	if !p.options.UsesSRV {
 		return p.lookupAddresses(ctx, p.options.Name, p.options.Port)
 	}
 	_, records, err := p.resolver.LookupSRV(ctx, "", "", fullyQualified(p.options.Name))
--- a/internal/discovery/dns_test.go
+++ b/internal/discovery/dns_test.go
@@ -51,25 +51,25 @@
 
 func TestDNSSourceFollowsAddressRecords(t *testing.T) {
 	server := newDNSServer(t)
-	server.Set("web.example", addressRecord("127.0.0.1", 0), addressRecord("127.0.0.2", 60), addressRecord("::1", 60))
+	server.SetRecords("web.example", addressRecord("127.0.0.1", 0), addressRecord("127.0.0.2", 60), addressRecord("::1", 60))
 	server.SetFault(fake.DNSHealthy, 100*time.Millisecond) // responses are correct but delayed
 	f := startDNSSource(t, quickDNSOptions(server))
 	f.expectList(t, "127.0.0.1:80", "127.0.0.2:80", "[::1]:80")
-	server.Set("web.example", addressRecord("127.0.0.2", 60))
+	server.SetRecords("web.example", addressRecord("127.0.0.2", 60))
 	f.expectList(t, "127.0.0.2:80")
 }
 
 func TestDNSSourceFollowsSRVRecords(t *testing.T) {
 	server := newDNSServer(t)
-	server.Set("one.example", addressRecord("127.0.0.1", 60))
-	server.Set("alias.example", fake.DNSRecord{Alias: "one.example", TTL: 60})
+	server.SetRecords("one.example", addressRecord("127.0.0.1", 60))
+	server.SetRecords("alias.example", fake.DNSRecord{Alias: "one.example", TTL: 60})
 	srv := func(host string, port, priority uint16) fake.DNSRecord {
 		return fake.DNSRecord{Service: host, Port: port, Priority: priority, TTL: 60}
 	}
-	server.Set("_http._tcp.example", srv("one.example", 81, 1), srv("alias.example", 81, 1), srv("one.example", 82, 1),
+	server.SetRecords("_http._tcp.example", srv("one.example", 81, 1), srv("alias.example", 81, 1), srv("one.example", 82, 1),
 		srv("none.example", 83, 1), srv("one.example", 99, 2))
 	o := quickDNSOptions(server)
-	o.Name, o.UseSRV, o.Port = "_http._tcp.example", true, 0
+	o.Name, o.UsesSRV, o.Port = "_http._tcp.example", true, 0
 	f := startDNSSource(t, o)
 	f.expectList(t, "127.0.0.1:81", "127.0.0.1:82")
 }
@@ -83,7 +83,7 @@
 		records, want = append(records, fake.DNSRecord{Address: ip, TTL: 60}), append(want, ip.String()+":80")
 	}
 	slices.Sort(want)
-	server.Set("web.example", records...)
+	server.SetRecords("web.example", records...)
 	f := startDNSSource(t, quickDNSOptions(server))
 	f.expectList(t, want...)
 	if server.TCPQueries.Load() == 0 {
@@ -101,7 +101,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			server := newDNSServer(t)
-			server.Set("web.example", addressRecord("127.0.0.1", 0))
+			server.SetRecords("web.example", addressRecord("127.0.0.1", 0))
 			f := startDNSSource(t, quickDNSOptions(server))
 			f.expectList(t, "127.0.0.1:80")
 			server.SetFault(fault, 0)
@@ -112,7 +112,7 @@
 				f.expectFailure(t)
 			}
 			f.expectNoUpdate(t)
-			server.Set("web.example", addressRecord("127.0.0.2", 0))
+			server.SetRecords("web.example", addressRecord("127.0.0.2", 0))
 			server.SetFault(fake.DNSHealthy, 0)
 			f.source.Subscribe()
 			f.expectList(t, "127.0.0.2:80")
@@ -122,8 +122,8 @@
 
 func TestPollOfDNSAliasLoopEndsWithoutUpdate(t *testing.T) {
 	server := newDNSServer(t)
-	server.Set("web.example", fake.DNSRecord{Alias: "b.example"})
-	server.Set("b.example", fake.DNSRecord{Alias: "web.example"})
+	server.SetRecords("web.example", fake.DNSRecord{Alias: "b.example"})
+	server.SetRecords("b.example", fake.DNSRecord{Alias: "web.example"})
 	source := newDNSSourceWithoutUpdates(t, quickDNSOptions(server))
 	if nextPollIn := source.PollOnce(t.Context()); nextPollIn <= 0 {
 		t.Errorf("the next poll is due in %v, want a positive time", nextPollIn)
@@ -170,7 +170,7 @@
 		defer server.Close()
 		go respondToQueries(server, tail)
 		o := DNSOptions{
-			Name: "a.example", Port: 1, Server: server.LocalAddr().String(), UseSRV: step%2 == 0, MinTTL: time.Second, MaxTTL: time.Minute,
+			Name: "a.example", Port: 1, Server: server.LocalAddr().String(), UsesSRV: step%2 == 0, MinTTL: time.Second, MaxTTL: time.Minute,
 		}
 		p := &dnsPoller{options: o, retryDelay: time.Second}
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
--- a/internal/discovery/update_test.go
+++ b/internal/discovery/update_test.go
@@ -8,8 +8,8 @@
 )
 
 func TestParseListUpdateReadsAllFields(t *testing.T) {
-	update, err := ParseListUpdate([]byte(testpeer.Members(3, true,
-		testpeer.Member("a", "127.0.0.1:1", "Ready"), testpeer.Member("b", "", "Gone"))))
+	update, err := ParseListUpdate([]byte(testpeer.EncodeMembers(3, true,
+		testpeer.EncodeMember("a", "127.0.0.1:1", "Ready"), testpeer.EncodeMember("b", "", "Gone"))))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -119,10 +119,10 @@
 				case n < 4:
 					serveNothing(w)
 				case query == "":
-					writeResponse(w, testpeer.Members(8, true))
+					writeResponse(w, testpeer.EncodeMembers(8, true))
 				default:
 					openStream(w)
-					writeChunk(w, testpeer.Members(8, false)+"\n")
+					writeChunk(w, testpeer.EncodeMembers(8, false)+"\n")
 				}
 			})
 			if len(agent.versions) == 0 {
@@ -146,7 +146,7 @@
 			}
 			time.Sleep(max(upAt-agent.elapsed(), 0)) // sleeps in virtual time, which takes no real time
 			openStream(w)
-			writeChunk(w, testpeer.Members(8, false)+"\n")
+			writeChunk(w, testpeer.EncodeMembers(8, false)+"\n")
 		})
 		if len(agent.deliveredAt) == 0 || agent.deliveredAt[0] < upAt || agent.deliveredAt[0]-upAt > 2*minBackoff {
 			rt.Fatalf("the agent was down until %v and updates were delivered at %v, want the first within %v", upAt, agent.deliveredAt, 2*minBackoff)
@@ -158,7 +158,7 @@
 func TestWatchWithOnlyHeartbeatsIsKept(t *testing.T) {
 	agent := runScript(t, 50*time.Second, func(agent *scriptedAgent, w io.Writer, query string, _ int) {
 		if query == "" {
-			writeResponse(w, testpeer.Members(8, true))
+			writeResponse(w, testpeer.EncodeMembers(8, true))
 			return
 		}
 		openStream(w)
@@ -184,7 +184,7 @@
 		t.Run(name, func(t *testing.T) {
 			agent := runScript(t, c.timeLimit, func(agent *scriptedAgent, w io.Writer, query string, n int) {
 				if query == "" {
-					writeResponse(w, testpeer.Members(9, true))
+					writeResponse(w, testpeer.EncodeMembers(9, true))
 					return
 				}
 				openStream(w)
@@ -212,8 +212,8 @@
 // Lists may be indented, and messages may arrive in parts. However the stream of a watch is split, at any byte or into single bytes, the
 // client delivers the same updates and need not fetch the complete list.
 func TestWatchSplitAtEveryByteDeliversTheSameUpdates(t *testing.T) {
-	stream := "\n" + indentedList + "\n\n" + testpeer.Members(9, false, testpeer.Member("b", "127.0.0.1:2", "Terminating")) + "\r\n" +
-		indentedList + testpeer.Members(10, false) + "\n\n"
+	stream := "\n" + indentedList + "\n\n" + testpeer.EncodeMembers(9, false, testpeer.EncodeMember("b", "127.0.0.1:2", "Terminating")) + "\r\n" +
+		indentedList + testpeer.EncodeMembers(10, false) + "\n\n"
 	for splitAt := range len(stream) {
 		parts := []string{stream[:splitAt], stream[splitAt:]}
 		if splitAt == 0 {
@@ -233,7 +233,7 @@
 
 // Over a real socket, a watch delivers an indented list and a change after it.
 func TestWatchReadsIndentedList(t *testing.T) {
-	f := startClient(t, 7, nil, indentedList+testpeer.Members(9, false)+"\nSILENT")
+	f := startClient(t, 7, nil, indentedList+testpeer.EncodeMembers(9, false)+"\nSILENT")
 	f.expectVersions(t, 8, 9)
 	f.expectQueries(t, "watch=1&after=7")
 }
--- a/internal/eventloop/host.go
+++ b/internal/eventloop/host.go
@@ -75,7 +75,7 @@
 }
 
 // HasIdleConnection implements balance.Host.
-func (h host) HasIdleConnection(endpoint string) bool { return h.upstream.HasIdle(endpoint) }
+func (h host) HasIdleConnection(endpoint string) bool { return h.upstream.HasIdleConnection(endpoint) }
 
 // Subscribe implements balance.Host. It makes discovery watch the endpoint list.
 func (h host) Subscribe() { h.requestWatch() }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -60,8 +60,8 @@
 	RemoveEndpoint(id string)
 	// SetEjected ejects an endpoint by an operator's override, or restores it.
 	SetEjected(id string, isEjected bool)
-	// HasIdle reports whether there is an idle connection to an endpoint.
-	HasIdle(id string) bool
+	// HasIdleConnection reports whether there is an idle connection to an endpoint.
+	HasIdleConnection(id string) bool
 }
 
 var _ Upstream = (*upstream.Client)(nil)
--- a/internal/eventloop/order_test.go
+++ b/internal/eventloop/order_test.go
@@ -127,7 +127,7 @@
 }
 func (u *scriptedUpstream) RemoveEndpoint(id string)             { u.setAccepting(id, false) }
 func (u *scriptedUpstream) SetEjected(id string, isEjected bool) { u.setAccepting(id, !isEjected) }
-func (u *scriptedUpstream) HasIdle(string) bool                  { return false }
+func (u *scriptedUpstream) HasIdleConnection(string) bool        { return false }
 
 func (u *scriptedUpstream) setAccepting(id string, isAccepting bool) {
 	u.mu.Lock()
--- a/internal/frontend/disconnect_stress_test.go
+++ b/internal/frontend/disconnect_stress_test.go
@@ -72,13 +72,13 @@
 		<-time.After(randomUpTo(4 * time.Millisecond)) // simulates a slow link; it does not wait for an event
 	}}
 	p := startProxy(t, options, addrs...)
-	descriptorsBefore := testpeer.OpenDescriptors()
+	descriptorsBefore := testpeer.CountOpenDescriptors()
 	disconnectedAt := sendAndDisconnect(t, p.addr, clientsPerClass)
 	p.awaitNoCalls(t)
 	testpeer.Eventually(t, "the balancer has at most one timer", func() bool { _, timers := p.resourceCounts(); return timers <= 1 })
 	testpeer.Eventually(t, "all descriptors are closed, except both ends of idle connections to endpoints", func() bool {
 		_, idle := p.upstream.ResourceCounts()
-		return testpeer.OpenDescriptors() <= descriptorsBefore+2*idle
+		return testpeer.CountOpenDescriptors() <= descriptorsBefore+2*idle
 	})
 	recorder.mu.Lock()
 	defer recorder.mu.Unlock()
--- a/internal/frontend/proxy_test.go
+++ b/internal/frontend/proxy_test.go
@@ -153,9 +153,9 @@
 	t.Helper()
 	var entries []string
 	for i, addr := range addrs {
-		entries = append(entries, testpeer.Member(string(rune('a'+i)), addr, state))
+		entries = append(entries, testpeer.EncodeMember(string(rune('a'+i)), addr, state))
 	}
-	update, err := discovery.ParseListUpdate([]byte(testpeer.Members(1, true, entries...)))
+	update, err := discovery.ParseListUpdate([]byte(testpeer.EncodeMembers(1, true, entries...)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/frontend/target.go
+++ b/internal/frontend/target.go
@@ -16,7 +16,7 @@
 // resolveTarget returns the target of a request's route. A request that matches no route is rejected: it must reach neither the
 // balancer nor an endpoint, since the daemon does not know whether the request is idempotent.
 func (s *Server) resolveTarget(routes *RouteConfig, r *http.Request) (resolvedTarget, *rejection) {
-	routeRequest := route.Request{Method: r.Method, Header: r.Header, Host: route.Host(r.Host)}
+	routeRequest := route.Request{Method: r.Method, Header: r.Header, Host: route.NormalizeHost(r.Host)}
 	rawTarget := originForm(r.RequestURI)
 	var err error
 	switch {
--- a/internal/route/normalize.go
+++ b/internal/route/normalize.go
@@ -44,9 +44,9 @@
 	return path, query, err
 }
 
-// Host returns the host of a Host header in the form in which rules name hosts: in lower case, without port, brackets and final
+// NormalizeHost returns the host of a Host header in the form in which rules name hosts: in lower case, without port, brackets and final
 // dot.
-func Host(header string) string {
+func NormalizeHost(header string) string {
 	if name, _, err := net.SplitHostPort(header); err == nil {
 		header = name
 	}
--- a/internal/route/normalize_test.go
+++ b/internal/route/normalize_test.go
@@ -58,7 +58,7 @@
 	for header, want := range map[string]string{"A.Example:80": "a.example", "a.example.": "a.example", "a.example.:8": "a.example", "[::1]:80": "::1",
 		"[::1]": "::1", "": "", "10.0.0.1": "10.0.0.1"} {
 		t.Run(header, func(t *testing.T) {
-			if got := Host(header); got != want {
+			if got := NormalizeHost(header); got != want {
 				t.Errorf("Host returned %q, want %q", got, want)
 			}
 		})
--- a/internal/sidecar/cluster.go
+++ b/internal/sidecar/cluster.go
@@ -94,7 +94,7 @@
 		transport:    clusterTransport,
 		log:          log,
 		spec:         *c.Cluster,
-		dividesPools: c.Cluster.DividesByMembership,
+		dividesPools: c.Cluster.SharesByMembership,
 		pools:        map[*pool]bool{},
 	}
 	n.ownFile.Store(c.File)
@@ -149,7 +149,7 @@
 	return func() {
 		initialSpec := n.spec
 		if initialSpec.Name != spec.Name || initialSpec.ClusterName != spec.ClusterName || initialSpec.Listen != spec.Listen ||
-			initialSpec.Advertise != spec.Advertise || initialSpec.DividesByMembership != spec.DividesByMembership {
+			initialSpec.Advertise != spec.Advertise || initialSpec.SharesByMembership != spec.SharesByMembership {
 			n.log.Warn("fleet: name, cluster, listen, advertise, and whether daemons and index are given, " +
 				"change with a restart only")
 		}
--- a/internal/sidecar/coldstart_test.go
+++ b/internal/sidecar/coldstart_test.go
@@ -74,7 +74,7 @@
 		}
 	}))
 	s.t.Cleanup(server.Close)
-	entry := testpeer.Member(id, server.Listener.Addr().String(), "Ready")
+	entry := testpeer.EncodeMember(id, server.Listener.Addr().String(), "Ready")
 	return strings.Replace(entry, `"started_ms":0`, fmt.Sprintf(`"started_ms":%d`, startedMs), 1)
 }
 
@@ -117,7 +117,7 @@
 func (s *coldStartSite) updateList(entries ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.updates = append(s.updates, testpeer.Members(2+len(s.updates), false, entries...))
+	s.updates = append(s.updates, testpeer.EncodeMembers(2+len(s.updates), false, entries...))
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -135,7 +135,7 @@
 		text := fmt.Sprintf(`{"listen":"127.0.0.1:0","discovery":%q,"seed":"%d","limits":{},"known":%s,
 			"settings":{"NInstances":%d,"Me":%d,"Lanes":[{"Name":"look","Semantics":"read_like","OnTimeUs":2000000}],
 			"Permissions":{"MayCancel":true,"TryLimit":4},"Rules":{"ColdFrom":%g,"ColdUs":%d}}}`,
-			s.agent.Listener.Addr(), i+1, testpeer.Members(1, true, entries...), s.sidecars, i, coldInitialFraction, coldWarmup.Microseconds())
+			s.agent.Listener.Addr(), i+1, testpeer.EncodeMembers(1, true, entries...), s.sidecars, i, coldInitialFraction, coldWarmup.Microseconds())
 		c, err := config.Parse([]byte(text), func(string) string { return "" })
 		if err != nil {
 			s.t.Fatal(err)
--- a/internal/sidecar/connections_test.go
+++ b/internal/sidecar/connections_test.go
@@ -50,7 +50,7 @@
 	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	s := startPlatform(t, e.Addr)
 	for i := range 500 {
-		s.updateList(t, testpeer.Members(i+2, true, testpeer.Member(fmt.Sprint("e", i), e.Addr, "Ready")))
+		s.updateList(t, testpeer.EncodeMembers(i+2, true, testpeer.EncodeMember(fmt.Sprint("e", i), e.Addr, "Ready")))
 		if status, _, _ := send(t, s.newRequest(t, http.MethodGet, "/look", fmt.Sprint("r", i), 60000)); status != http.StatusOK {
 			t.Fatalf("request %d: status %d, want 200", i, status)
 		}
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -33,12 +33,12 @@
 	if atA, atB := sendEightRequests(); atA == 0 || atB == 0 {
 		t.Errorf("with both endpoints ready: %d requests at a and %d at b, want some at each", atA, atB)
 	}
-	s.updateList(t, testpeer.Members(2, false, testpeer.Member("a", a.Addr, "Terminating")))
+	s.updateList(t, testpeer.EncodeMembers(2, false, testpeer.EncodeMember("a", a.Addr, "Terminating")))
 	if atA, atB := sendEightRequests(); atA != 0 || atB != 8 {
 		t.Errorf("with a draining: %d requests at a and %d at b, want 0 and 8", atA, atB)
 	}
 	// The endpoint a is removed, and the endpoint b gets the address that a had.
-	s.updateList(t, testpeer.Members(3, true, testpeer.Member("b", a.Addr, "Ready")))
+	s.updateList(t, testpeer.EncodeMembers(3, true, testpeer.EncodeMember("b", a.Addr, "Ready")))
 	if atNew, atOld := sendEightRequests(); atNew != 8 || atOld != 0 {
 		t.Errorf("with b at a new address: %d requests there and %d at the old one, want 8 and 0", atNew, atOld)
 	}
@@ -59,7 +59,7 @@
 	newEndpoint := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	c := s.platformConfig
 	var calls chan string
-	c.Discovery, calls = startDiscovery(t, testpeer.Members(1, true, testpeer.Member("new", newEndpoint.Addr, "Ready")), "SILENT")
+	c.Discovery, calls = startDiscovery(t, testpeer.EncodeMembers(1, true, testpeer.EncodeMember("new", newEndpoint.Addr, "Ready")), "SILENT")
 	reload := func() error {
 		t.Helper()
 		service, err := c.Service()
@@ -136,8 +136,8 @@
 	setDNSRecords := func(addr string) {
 		_, port, _ := net.SplitHostPort(addr)
 		n, _ := strconv.Atoi(port)
-		dns.Set("host.example", fake.DNSRecord{Address: netip.MustParseAddr("127.0.0.1")})
-		dns.Set("_web._tcp.example", fake.DNSRecord{Service: "host.example", Port: uint16(n)})
+		dns.SetRecords("host.example", fake.DNSRecord{Address: netip.MustParseAddr("127.0.0.1")})
+		dns.SetRecords("_web._tcp.example", fake.DNSRecord{Service: "host.example", Port: uint16(n)})
 	}
 	writeMembersFile(a)
 	setDNSRecords(a)
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -58,10 +58,10 @@
 	t.Cleanup(silentAgent.Close)
 	var members []string
 	for i, addr := range addrs {
-		members = append(members, testpeer.Member(string(rune('a'+i)), addr, "Ready"))
+		members = append(members, testpeer.EncodeMember(string(rune('a'+i)), addr, "Ready"))
 	}
 	text := fmt.Sprintf(`{"listen":"127.0.0.1:0","discovery":%q,"seed":"7","limits":%s,"known":%s,"settings":%s}`,
-		silentAgent.Listener.Addr(), limits, testpeer.Members(1, true, members...), platformSettings)
+		silentAgent.Listener.Addr(), limits, testpeer.EncodeMembers(1, true, members...), platformSettings)
 	c, err := config.Parse([]byte(text), os.Getenv)
 	if err != nil {
 		t.Fatal(err)
@@ -182,7 +182,7 @@
 // each call to the channel calls.
 func startDiscovery(t *testing.T, steps ...string) (addr string, calls chan string) {
 	t.Helper()
-	agent := &testpeer.ScriptedAgent{Steps: steps, Queries: make(chan string, 100)}
+	agent := &testpeer.ScriptedAgent{Responses: steps, Queries: make(chan string, 100)}
 	server := httptest.NewServer(agent)
 	t.Cleanup(func() {
 		server.CloseClientConnections() // a watch may still be open
--- a/internal/sidecar/listener.go
+++ b/internal/sidecar/listener.go
@@ -66,7 +66,7 @@
 		Forwarded:            frontend.ForwardedMode(spec.Forwarded),
 		Pseudonym:            o.pseudonym,
 		FractionalRetryAfter: spec.RetryAfter == "fraction",
-		Raw:                  spec.RawTargets,
+		Raw:                  spec.UsesRawTargets,
 		BodyMemory:           o.bodyMemory,
 		Metrics:              o.metrics,
 		MinRate:              body.MinimumRate{IdleTimeout: spec.StreamIdleTimeout, BytesPerSecond: spec.MinStreamRate},
--- a/internal/sidecar/overrides_test.go
+++ b/internal/sidecar/overrides_test.go
@@ -118,13 +118,13 @@
 		}
 	}
 	s.adminCommand(t, "set-down a")
-	s.updateList(t, testpeer.Members(2, false, testpeer.Member("a", a.Addr, "Terminating")))
+	s.updateList(t, testpeer.EncodeMembers(2, false, testpeer.EncodeMember("a", a.Addr, "Terminating")))
 	if got := s.adminCommand(t, "set-up a"); got != "SUCCESS a is back\n" {
 		t.Errorf("set-up while the endpoint is draining: response %q, want that it is back", got)
 	}
 	sendBurst("restored while draining")
 	s.adminCommand(t, "set-down a")
-	s.updateList(t, testpeer.Members(3, true, testpeer.Member("b", b.Addr, "Ready")))
+	s.updateList(t, testpeer.EncodeMembers(3, true, testpeer.EncodeMember("b", b.Addr, "Ready")))
 	if got := s.adminCommand(t, "set-up a"); got != "SUCCESS a is back\n" {
 		t.Errorf("set-up after the endpoint was removed: response %q, want that it is back", got)
 	}
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -61,7 +61,7 @@
 		AcceptOnlyStatusOK:      spec.AcceptsOnlyStatusOK,
 		RequestStart:            requestStart,
 		BodyMemory:              bodyMemory,
-		MinimumRate:             spec.StreamPace,
+		MinimumRate:             spec.MinStreamRate,
 		BufferedResponseTimeout: spec.BufferedResponseTimeout,
 		MaxResponseBody:         spec.MaxResponseBytes,
 		OnRequestSent:           func() { registry.Attempts.Add(1) },
@@ -152,12 +152,12 @@
 		return discovery.NewFileSource(spec.File, p.members, p.updateEndpoints, p.reportDiscoveryFailure, p.log)
 	case spec.DNS != nil:
 		return discovery.NewDNSSource(discovery.DNSOptions{
-			Name:   spec.DNS.Name,
-			UseSRV: spec.DNS.Type == "srv",
-			Port:   spec.DNS.Port,
-			Server: spec.DNS.Server,
-			MinTTL: spec.DNS.MinTTL,
-			MaxTTL: spec.DNS.MaxTTL,
+			Name:    spec.DNS.Name,
+			UsesSRV: spec.DNS.Type == "srv",
+			Port:    spec.DNS.Port,
+			Server:  spec.DNS.Server,
+			MinTTL:  spec.DNS.MinTTL,
+			MaxTTL:  spec.DNS.MaxTTL,
 		}, p.members, p.updateEndpoints, p.reportDiscoveryFailure, p.log)
 	}
 	return discovery.NewStaticSource(config.StaticMembers(spec.Members), p.members, p.updateEndpoints, p.reportDiscoveryFailure, p.log)
--- a/internal/sidecar/reload_storm_test.go
+++ b/internal/sidecar/reload_storm_test.go
@@ -186,7 +186,7 @@
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	return resourceLevels{runtime.NumGoroutine(), testpeer.OpenDescriptors(), m.HeapAlloc}
+	return resourceLevels{runtime.NumGoroutine(), testpeer.CountOpenDescriptors(), m.HeapAlloc}
 }
 
 // Parameters of TestReloadStormLosesNoRequest.
--- a/internal/sidecar/settings.go
+++ b/internal/sidecar/settings.go
@@ -119,7 +119,7 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-n.raft.Changed():
+			case <-n.raft.VersionChanged():
 				n.agreedEjections = s.overrides.applyAgreed(ctx, n.agreedEjections, n.ejectedIDs())
 				if err := s.installAgreedSettings(); err != nil && !errors.Is(err, errShuttingDown) {
 					n.log.Error("what is agreed on is not taken up", "error", err)
--- a/internal/sidecar/settings_command.go
+++ b/internal/sidecar/settings_command.go
@@ -100,13 +100,13 @@
 		}
 	case "force":
 		c.ID = args[0]
-		c.Force, err = strconv.ParseUint(args[1], 10, 64)
+		c.ForceVersion, err = strconv.ParseUint(args[1], 10, 64)
 	case "voters-add", "voters-remove":
 		c.ID = args[0]
 		if !swim.IsValidName(args[1]) {
 			return nil, fmt.Errorf("%.40q is no name of a daemon", args[1])
 		}
-		c.ChangeVoter = &consensus.VoterChange{Name: args[1], Remove: name == "voters-remove"}
+		c.ChangeVoter = &consensus.VoterChange{Name: args[1], IsRemoval: name == "voters-remove"}
 	default:
 		c.ID = args[0]
 		err = parseDocumentChange(c, name, args, body)
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -11,10 +11,10 @@
 
 // Settings holds the contents of the settings object that a host of balancers uses.
 type Settings struct {
-	balance.Settings                // settings for balance.New
-	ConnIdle          time.Duration // time after which an endpoint closes an idle connection; 0: unknown
-	DialTimeout       time.Duration // time in which a connection must be established; 0: unknown
-	LongestClientWait time.Duration // longest time that a client of any class waits in total; 0: unknown for at least one class
+	balance.Settings                    // settings for balance.New
+	IdleConnectionTimeout time.Duration // time after which an endpoint closes an idle connection; 0: unknown
+	DialTimeout           time.Duration // time in which a connection must be established; 0: unknown
+	LongestClientWait     time.Duration // longest time that a client of any class waits in total; 0: unknown for at least one class
 }
 
 // settings is the settings object in its JSON form, without the members that this package does not use and the decoder ignores.
@@ -61,10 +61,10 @@
 		return Settings{}, fmt.Errorf("parsing Config: %w", err)
 	}
 	s := Settings{
-		Settings:          wire.balancerSettings(),
-		ConnIdle:          microseconds(wire.Permissions.ConnIdleUs),
-		DialTimeout:       microseconds(wire.Permissions.DialTimeoutUs),
-		LongestClientWait: wire.longestHardLimit(),
+		Settings:              wire.balancerSettings(),
+		IdleConnectionTimeout: microseconds(wire.Permissions.ConnIdleUs),
+		DialTimeout:           microseconds(wire.Permissions.DialTimeoutUs),
+		LongestClientWait:     wire.longestHardLimit(),
 	}
 	switch wire.Discovery {
 	case "automatic", "":
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -38,7 +38,7 @@
 	}{
 		"all are given": {
 			`{"Permissions":{"ConnIdleUs":3,"DialTimeoutUs":4},"Lanes":[{"Semantics":"read_like","HardLimitUs":5},{"Semantics":"read_like","HardLimitUs":2}]}`,
-			Settings{ConnIdle: 3 * time.Microsecond, DialTimeout: 4 * time.Microsecond, LongestClientWait: 5 * time.Microsecond},
+			Settings{IdleConnectionTimeout: 3 * time.Microsecond, DialTimeout: 4 * time.Microsecond, LongestClientWait: 5 * time.Microsecond},
 		},
 		"a class without a limit": {
 			`{"Lanes":[{"Semantics":"read_like","HardLimitUs":5},{"Semantics":"read_like"}]}`, Settings{},
@@ -50,7 +50,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got.ConnIdle != c.want.ConnIdle || got.DialTimeout != c.want.DialTimeout || got.LongestClientWait != c.want.LongestClientWait {
+			if got.IdleConnectionTimeout != c.want.IdleConnectionTimeout || got.DialTimeout != c.want.DialTimeout || got.LongestClientWait != c.want.LongestClientWait {
 				t.Errorf("got %+v, want %+v", got, c.want)
 			}
 		})
--- a/internal/testkit/fake/client.go
+++ b/internal/testkit/fake/client.go
@@ -222,7 +222,7 @@
 		outcome.RetryAfter = time.Duration(seconds * float64(time.Second))
 	}
 	isGenuine := resp.StatusCode != http.StatusOK || strings.HasPrefix(string(body), r.ID+" ")
-	c.recorder.Add(invariant.Event{Kind: invariant.ResponseReceived, Request: r.ID, Status: resp.StatusCode, Genuine: isGenuine})
+	c.recorder.Add(invariant.Event{Kind: invariant.ResponseReceived, Request: r.ID, Status: resp.StatusCode, IsGenuine: isGenuine})
 	if conn.reader.Buffered() == 0 && !resp.Close {
 		_ = conn.SetReadDeadline(time.Now().Add(extraBytesWait))
 		if _, err := conn.reader.Peek(1); errors.Is(err, os.ErrDeadlineExceeded) {
--- a/internal/testkit/fake/client_test.go
+++ b/internal/testkit/fake/client_test.go
@@ -65,7 +65,7 @@
 			if c.name == "rejected" && out.RetryAfter != 250*time.Millisecond {
 				t.Errorf("RetryAfter is %v, want 250ms", out.RetryAfter)
 			}
-			if c.name == "served" && !events[1].Genuine {
+			if c.name == "served" && !events[1].IsGenuine {
 				t.Error("the response made for the request is not recorded as genuine")
 			}
 		})
@@ -75,7 +75,7 @@
 	client := NewClient(classes, &Registry{}, recorder, 50*time.Millisecond, 4)
 	defer client.Close()
 	client.Do(Request{ID: "ab", Class: readClass, Job: &Job{}, Timeout: time.Second, Connect: connect})
-	if events, _ := recorder.Events(); events[1].Genuine {
+	if events, _ := recorder.Events(); events[1].IsGenuine {
 		t.Error("a response made for another request is recorded as genuine")
 	}
 	client.Close()
--- a/internal/testkit/fake/dns.go
+++ b/internal/testkit/fake/dns.go
@@ -95,8 +95,8 @@
 	d.handlers.Wait()
 }
 
-// Set replaces the records of a name. Without records the name does not exist any more.
-func (d *DNS) Set(name string, records ...DNSRecord) {
+// SetRecords replaces the records of a name. Without records the name does not exist any more.
+func (d *DNS) SetRecords(name string, records ...DNSRecord) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.recordsByName[canonicalName(name)] = records
--- a/internal/testkit/fake/echo.go
+++ b/internal/testkit/fake/echo.go
@@ -34,8 +34,8 @@
 	})
 }
 
-// EchoServer returns an HTTP server with an EchoHandler. The given address is that of the server and also the handler's name.
+// NewEchoServer returns an HTTP server with an EchoHandler. The given address is that of the server and also the handler's name.
 // The caller starts the server.
-func EchoServer(addr string) *http.Server {
+func NewEchoServer(addr string) *http.Server {
 	return &http.Server{Addr: addr, Handler: EchoHandler(addr), ReadHeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute}
 }
--- a/internal/testkit/fake/node_request.go
+++ b/internal/testkit/fake/node_request.go
@@ -91,7 +91,7 @@
 func (n *Node) execute(c *nodeConnection, received receivedRequest, request registeredRequest) {
 	isDuplicate := request.key != "" && n.classes[request.class].Effect == invariant.IdempotencyKeyed &&
 		n.cell.recordKey(request.key, time.Now())
-	n.recorder.Add(invariant.Event{Kind: invariant.EffectStarted, Node: n.ID, Request: received.id, Duplicate: isDuplicate})
+	n.recorder.Add(invariant.Event{Kind: invariant.EffectStarted, Node: n.ID, Request: received.id, IsDuplicate: isDuplicate})
 	work, calls := request.job.Work, request.job.Calls
 	if isDuplicate {
 		work, calls = work/duplicateWorkDivisor, nil
--- a/internal/testkit/fake/node_test.go
+++ b/internal/testkit/fake/node_test.go
@@ -207,7 +207,7 @@
 	countStarts := func(id string) (effects, duplicates int) {
 		events, _ := f.recorder.Events()
 		for _, e := range events {
-			if e.Kind == invariant.EffectStarted && e.Request == id && e.Duplicate {
+			if e.Kind == invariant.EffectStarted && e.Request == id && e.IsDuplicate {
 				duplicates++
 			} else if e.Kind == invariant.EffectStarted && e.Request == id {
 				effects++
--- a/internal/testkit/fleetsim/endpoint.go
+++ b/internal/testkit/fleetsim/endpoint.go
@@ -135,7 +135,7 @@
 		}
 	}
 	e.runOnCore(func(done func()) {
-		sim.record(invariant.Event{Kind: invariant.EffectStarted, Request: a.request.id, Node: e.id, Duplicate: isDuplicate})
+		sim.record(invariant.Event{Kind: invariant.EffectStarted, Request: a.request.id, Node: e.id, IsDuplicate: isDuplicate})
 		if isDuplicate {
 			work = 0
 		}
--- a/internal/testkit/fleetsim/sidecar.go
+++ b/internal/testkit/fleetsim/sidecar.go
@@ -189,7 +189,7 @@
 		return
 	}
 	req.isDone = true
-	s.sim.record(invariant.Event{Kind: invariant.ResponseReceived, Request: req.id, Status: status, Genuine: status == 200})
+	s.sim.record(invariant.Event{Kind: invariant.ResponseReceived, Request: req.id, Status: status, IsGenuine: status == 200})
 	s.sim.schedule(wireDelay, func() { req.onResponse(status) })
 }
 
--- a/internal/testkit/invariant/double_effect.go
+++ b/internal/testkit/invariant/double_effect.go
@@ -61,7 +61,7 @@
 // applyEffectStarted counts the duplicates that nodes dropped: attempts at requests with an idempotency key of which an
 // earlier attempt had taken effect.
 func (c *checker) applyEffectStarted(e *Event) {
-	if e.Duplicate {
+	if e.IsDuplicate {
 		c.countOccasion(ruleNoDoubleEffect, "repeats that nodes dropped")
 	}
 }
--- a/internal/testkit/invariant/event.go
+++ b/internal/testkit/invariant/event.go
@@ -9,7 +9,7 @@
 // A request is identified by its ID, which is new for each retry by a client and for each call of a node to the next tier.
 const (
 	RequestSent       Kind = iota // a client writes a request to Sidecar; Class and Deadline are set
-	ResponseReceived              // the client has received a complete response; Status and Genuine are set
+	ResponseReceived              // the client has received a complete response; Status and IsGenuine are set
 	ExtraBytes                    // the client received further bytes on its connection after the complete response
 	ConnectionLost                // the client's connection ended before a complete response
 	ResponseOverdue               // the client gave up some time after the deadline without having received any byte
@@ -27,7 +27,7 @@
 	SidecarStarted                // a new process of Sidecar started; no notification to an earlier process counts for the new one
 	SigtermSent                   // Sidecar's process was sent SIGTERM
 	SidecarKilled                 // Sidecar's process was sent SIGKILL
-	SidecarExited                 // Sidecar's process ended; Crash is set if the harness had sent no signal that ends it
+	SidecarExited                 // Sidecar's process ended; HasCrashed is set if the harness had sent no signal that ends it
 	SidecarPaused                 // Sidecar's process was suspended by SIGSTOP
 	SidecarResumed                // Sidecar's process runs again after a pause of Duration
 	HarnessStall                  // the test harness itself was not scheduled for Duration, until the instant of the event
@@ -67,9 +67,9 @@
 	FirstByteAt          time.Duration // arrival of the attempt's first byte, since the start of the day
 	Work                 float64       // work of the attempt, in seconds on a core of speed 1
 	Status               int           // HTTP status of the response
-	Genuine              bool          // whether the response is a rejection or an error, or its body was written by a node for this request
-	Duplicate            bool          // whether the node dropped the attempt as a duplicate
-	Crash                bool          // whether the sidecar's process ended without a signal from the harness
+	IsGenuine            bool          // whether the response is a rejection or an error, or its body was written by a node for this request
+	IsDuplicate          bool          // whether the node dropped the attempt as a duplicate
+	HasCrashed           bool          // whether the sidecar's process ended without a signal from the harness
 	State                State         // state of the node that the sidecar was notified of
 	Cell                 int           // index of the cell of the node that received the attempt
 	Capacity             float64       // seconds of work that the node does per second when it is warm
--- a/internal/testkit/invariant/final_response.go
+++ b/internal/testkit/invariant/final_response.go
@@ -89,7 +89,7 @@
 	switch e.Status {
 	case http.StatusOK:
 		c.countOccasion(ruleFinalResponse, "served")
-		if !e.Genuine {
+		if !e.IsGenuine {
 			c.addViolation(ruleFinalResponse, e, "served with what no endpoint made for it")
 		}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
--- a/internal/testkit/invariant/process.go
+++ b/internal/testkit/invariant/process.go
@@ -34,7 +34,7 @@
 	case SidecarResumed:
 		c.applySidecarResumed(e)
 	case SidecarExited:
-		if e.Crash {
+		if e.HasCrashed {
 			c.report.Crashes++
 			c.addViolation(ruleFinalResponse, e, "the sidecar's process ended by itself")
 		}
--- a/internal/testkit/invariant/timeline_test.go
+++ b/internal/testkit/invariant/timeline_test.go
@@ -52,7 +52,7 @@
 
 // respond appends a genuine response to a request.
 func (l timeline) respond(at time.Duration, id string, status int) timeline {
-	return append(l, Event{At: at, Kind: ResponseReceived, Request: id, Status: status, Genuine: true})
+	return append(l, Event{At: at, Kind: ResponseReceived, Request: id, Status: status, IsGenuine: true})
 }
 
 // notify appends a notification of the sidecar s that the node a is in a state.
@@ -104,7 +104,7 @@
 			Event{At: 2 * s, Kind: ResponseReceived, Request: "r", Status: 200})},
 	{"sidecar crash", 1, "ended by itself",
 		append(newTimeline().request(s, "r", readClass).respond(2*s, "r", 200),
-			Event{At: 3 * s, Kind: SidecarExited, Sidecar: "s", Crash: true})},
+			Event{At: 3 * s, Kind: SidecarExited, Sidecar: "s", HasCrashed: true})},
 	{"connection closed after its request was read", 1, "first connection was closed",
 		newTimeline().request(s, "r", readClass).attempt(s+ms, "r", "a", 1).request(s+2*ms, "r", readClass).
 			respond(2*s, "r", 200)},
--- a/internal/testkit/loadgen/http.go
+++ b/internal/testkit/loadgen/http.go
@@ -18,24 +18,24 @@
 // the size of any body that a load test would request.
 const maxBodySize = 64 << 20
 
-// HTTP is a Sender that sends HTTP/1.1 requests and reuses idle connections. It is safe for concurrent use.
-type HTTP struct {
+// HTTPSender is a Sender that sends HTTP/1.1 requests and reuses idle connections. It is safe for concurrent use.
+type HTTPSender struct {
 	newRequest func(n int64) *http.Request
 	transport  *http.Transport
 }
 
 // NewHTTP returns a sender that keeps up to maxIdle idle connections open. newRequest makes request number n, counted from 0.
 // dial opens connections; if it is nil, they are opened over the network of the operating system.
-func NewHTTP(newRequest func(n int64) *http.Request, maxIdle int, dial func(ctx context.Context, network, addr string) (net.Conn, error)) *HTTP {
-	return &HTTP{newRequest: newRequest, transport: &http.Transport{DialContext: dial, MaxIdleConns: maxIdle, MaxIdleConnsPerHost: maxIdle,
+func NewHTTP(newRequest func(n int64) *http.Request, maxIdle int, dial func(ctx context.Context, network, addr string) (net.Conn, error)) *HTTPSender {
+	return &HTTPSender{newRequest: newRequest, transport: &http.Transport{DialContext: dial, MaxIdleConns: maxIdle, MaxIdleConnsPerHost: maxIdle,
 		IdleConnTimeout: time.Minute, DisableCompression: true, MaxResponseHeaderBytes: 1 << 20}}
 }
 
 // Close closes all idle connections. Connections with a request in flight stay open.
-func (h *HTTP) Close() { h.transport.CloseIdleConnections() }
+func (h *HTTPSender) Close() { h.transport.CloseIdleConnections() }
 
-// RequestTemplate returns a function for NewHTTP whose requests differ only in their number, which replaces each "{n}" in the URL.
-func RequestTemplate(method, url string, header http.Header, body []byte) (func(n int64) *http.Request, error) {
+// NewRequestTemplate returns a function for NewHTTP whose requests differ only in their number, which replaces each "{n}" in the URL.
+func NewRequestTemplate(method, url string, header http.Header, body []byte) (func(n int64) *http.Request, error) {
 	makeRequest := func(n int64) (*http.Request, error) {
 		r, err := http.NewRequest(method, strings.ReplaceAll(url, "{n}", fmt.Sprint(n)), bytes.NewReader(body))
 		if err != nil {
@@ -57,7 +57,7 @@
 }
 
 // Send implements Sender. WrittenAt of its responses is the instant at which the request's header was written to the connection.
-func (h *HTTP) Send(ctx context.Context, n int64) (response Response) {
+func (h *HTTPSender) Send(ctx context.Context, n int64) (response Response) {
 	// The variables that the trace's functions set are atomic, since the transport calls these functions on its own goroutines,
 	// possibly after the round trip has returned.
 	var connections atomic.Int32 // number of connections used for the request; more than one if the transport sent the request again
@@ -81,7 +81,7 @@
 }
 
 // roundTrip sends a request and reads the response completely, up to maxBodySize bytes of the body.
-func (h *HTTP) roundTrip(r *http.Request) (status int, err error) {
+func (h *HTTPSender) roundTrip(r *http.Request) (status int, err error) {
 	resp, err := h.transport.RoundTrip(r)
 	if err != nil {
 		return 0, err
--- a/internal/testkit/loadgen/run_test.go
+++ b/internal/testkit/loadgen/run_test.go
@@ -102,7 +102,7 @@
 			t.Error(err)
 		}
 	}()
-	newRequest, err := RequestTemplate(http.MethodGet, "http://server/{n}", nil, nil)
+	newRequest, err := NewRequestTemplate(http.MethodGet, "http://server/{n}", nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -255,7 +255,7 @@
 						go func() { defer nc.Close(); c.serve(nc) }()
 					}
 				}()
-				newRequest, _ := RequestTemplate(http.MethodGet, "http://server/", nil, nil)
+				newRequest, _ := NewRequestTemplate(http.MethodGet, "http://server/", nil, nil)
 				sender := NewHTTP(newRequest, 100, network.dial)
 				o := Options{Process: schedule.Process{Rate: schedule.Steady(20)}, Duration: time.Second, ResponseTimeout: 3 * time.Second, Connections: 100}
 				result, err := Run(t.Context(), o, sender)
--- a/internal/testkit/raftsim/client.go
+++ b/internal/testkit/raftsim/client.go
@@ -36,14 +36,14 @@
 			withSlot = append(withSlot, n)
 		}
 	}
-	change := &consensus.VoterChange{Remove: true}
+	change := &consensus.VoterChange{IsRemoval: true}
 	switch {
 	case len(withUnusedSlot) > 0:
 		change.Name = fmt.Sprint("d", withUnusedSlot[0].index)
 	case len(slots) <= s.options.Voters && len(withoutSlot) > 0:
 		n := withoutSlot[s.rng.IntN(len(withoutSlot))]
 		// A daemon whose voter was removed can run a voter again only after a restart with an empty disk.
-		if change.Name, change.Remove = fmt.Sprint("d", n.index), false; n.wasRemoved {
+		if change.Name, change.IsRemoval = fmt.Sprint("d", n.index), false; n.wasRemoved {
 			s.Crash(n)
 			s.startNode(n)
 		}
@@ -93,8 +93,8 @@
 	}
 	s.schedule(proposer, s.Now, func() {
 		s.callVoter(proposer, func() {
-			if state := proposer.voter.State(); state.Pending > state.Active {
-				_ = proposer.voter.Propose(&consensus.Command{Force: state.Pending})
+			if state := proposer.voter.State(); state.PendingVersion > state.ActiveVersion {
+				_ = proposer.voter.Propose(&consensus.Command{ForceVersion: state.PendingVersion})
 			}
 		})
 	})
--- a/internal/testkit/raftsim/table.go
+++ b/internal/testkit/raftsim/table.go
@@ -87,8 +87,8 @@
 	})
 }
 
-// Tables measures clusters of several sizes with the default lease durations, and writes a table with a row for each size.
-func Tables(out io.Writer, sizes []int, seed uint64) error {
+// WriteTables measures clusters of several sizes with the default lease durations, and writes a table with a row for each size.
+func WriteTables(out io.Writer, sizes []int, seed uint64) error {
 	leaseConfig := consensus.LeaseConfig{Duration: 15 * time.Second, ShortDuration: time.Duration(4.95 * float64(time.Second)), MaxClockDrift: 0.01}
 	var rows strings.Builder
 	// The headings stand for the median and longest time to commit, the median and longest time until all daemons act on the version,
--- a/internal/testkit/rehearse/invariants_test.go
+++ b/internal/testkit/rehearse/invariants_test.go
@@ -21,9 +21,9 @@
 		if r.Valid {
 			return r
 		}
-		t.Logf("the result is not valid: %v", r.Invalid)
+		t.Logf("the result is not valid: %v", r.InvalidReasons)
 	}
-	t.Skipf("this machine is too busy for a rehearsal: %v", r.Invalid)
+	t.Skipf("this machine is too busy for a rehearsal: %v", r.InvalidReasons)
 	return nil
 }
 
@@ -43,7 +43,7 @@
 	} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			r := runUntilValid(t, newTestPlan(t), Options{Command: sidecarCommand(fault)})
+			r := runUntilValid(t, newTestPlan(t), Options{NewCommand: sidecarCommand(fault)})
 			for _, ruleResult := range r.Invariants.Rules {
 				switch {
 				case ruleResult.Number == rule && ruleResult.Verdict != invariant.Broken:
@@ -103,7 +103,7 @@
 	for fault, want := range map[string]invariant.Verdict{"good": invariant.Held, "sends to draining nodes": invariant.Broken} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			r := runUntilValid(t, newTestPlan(t, changes...), Options{Command: sidecarCommand(fault)})
+			r := runUntilValid(t, newTestPlan(t, changes...), Options{NewCommand: sidecarCommand(fault)})
 			if rule := r.Invariants.Rules[2]; rule.Verdict != want || rule.Occasions["drains told"] < 1 {
 				t.Errorf("verdict on rule 3 is %q, want %q with a drain; occasions %v, violations %+v", rule.Verdict, want,
 					rule.Occasions, rule.Violations)
@@ -130,7 +130,7 @@
 how = "renamed"
 tier = "back"
 `, `notice = "100ms"`, `notice = "2s"`)
-	r := runUntilValid(t, newTestPlan(t, changes...), Options{Command: sidecarCommand("good")})
+	r := runUntilValid(t, newTestPlan(t, changes...), Options{NewCommand: sidecarCommand("good")})
 	report := r.Invariants
 	if !r.Held || report.Rules[2].Occasions["ends told"] < 2 || report.Rules[3].TestedOccasions < 2 || report.Collapses != 0 {
 		t.Errorf("held %v with %d collapsed nodes, want true and 0, with rules 3 and 4 tested at least twice: %+v", r.Held, report.Collapses,
--- a/internal/testkit/rehearse/measure.go
+++ b/internal/testkit/rehearse/measure.go
@@ -156,7 +156,7 @@
 			}
 			workOf[e.Request] = e.Work
 		case invariant.EffectStarted:
-			if !e.Duplicate {
+			if !e.IsDuplicate {
 				workDone += workOf[e.Request]
 			}
 		case invariant.ResponseReceived:
@@ -184,7 +184,7 @@
 
 // computeService sets the points of service: the weighted fractions of value served in time, on a scale of 100, minus the penalties.
 func (r *Result) computeService() {
-	r.Service = 100*(weightOverall*r.InTimeFraction+weightWorstWindow*r.WorstWindowFraction+weightWorstClass*minFraction(r.ByClass)+
+	r.ServicePoints = 100*(weightOverall*r.InTimeFraction+weightWorstWindow*r.WorstWindowFraction+weightWorstClass*minFraction(r.ByClass)+
 		weightWorstTenant*minFraction(r.ByTenant)) -
 		r.Penalties.Connections - r.Penalties.Waste - r.Penalties.LateFailures - r.Penalties.Overload
 }
--- a/internal/testkit/rehearse/monitor.go
+++ b/internal/testkit/rehearse/monitor.go
@@ -45,8 +45,8 @@
 			}
 		}
 		m.inFlight = append(m.inFlight, sample)
-		if r.options.Progress != nil {
-			r.options.Progress(Snapshot{
+		if r.options.OnProgress != nil {
+			r.options.OnProgress(Snapshot{
 				Elapsed:      time.Since(m.startedAt),
 				Length:       r.plan.Day.Length,
 				OfferedValue: float64(r.offeredValue.Load()) / 1000,
--- a/internal/testkit/rehearse/output_test.go
+++ b/internal/testkit/rehearse/output_test.go
@@ -19,7 +19,7 @@
 		Seed:           seed,
 		Demand:         demand,
 		Valid:          true,
-		Service:        service,
+		ServicePoints:  service,
 		InTimeFraction: service / 100,
 		ByClass:        map[string]ServedValue{"look": {Offered: 2, InTime: 1, Fraction: 0.5}},
 		ByTenant:       map[string]ServedValue{"t": {Fraction: 1}},
--- a/internal/testkit/rehearse/result.go
+++ b/internal/testkit/rehearse/result.go
@@ -11,16 +11,16 @@
 	Seed     uint64  `json:"seed"`
 	Demand   float64 `json:"demand"` // factor on the demand that the day's file states
 
-	Valid   bool     `json:"valid"`             // whether the rehearsal itself was on time and recorded all events, so that the result says something about the sidecars
-	Invalid []string `json:"invalid,omitempty"` // reasons why the run is not valid; empty if it is valid
-	Held    bool     `json:"held"`              // whether no invariant was violated and no sidecar crashed
+	Valid          bool     `json:"valid"`             // whether the rehearsal itself was on time and recorded all events, so that the result says something about the sidecars
+	InvalidReasons []string `json:"invalid,omitempty"` // reasons why the run is not valid; empty if it is valid
+	Held           bool     `json:"held"`              // whether no invariant was violated and no sidecar crashed
 
 	InTimeFraction      float64                `json:"whole"`     // fraction of the value of all requests that was served in time
 	WorstWindowFraction float64                `json:"worst_10s"` // lowest fraction of value that was served in time in any window of 10 seconds
 	BySecond            []Second               `json:"by_second"`
 	ByClass             map[string]ServedValue `json:"by_class"`
 	ByTenant            map[string]ServedValue `json:"by_tenant"` // value of the requests within each tenant's quota
-	Service             float64                `json:"service"`   // weighted fractions of value minus Penalties, in points out of 100
+	ServicePoints       float64                `json:"service"`   // weighted fractions of value minus Penalties, in points out of 100
 	Penalties           Penalties              `json:"prices"`
 
 	Requests                 Counts             `json:"requests"`
--- a/internal/testkit/rehearse/run.go
+++ b/internal/testkit/rehearse/run.go
@@ -17,10 +17,10 @@
 
 // Options configure a run of a plan.
 type Options struct {
-	Command           func() *exec.Cmd   // returns a command that runs one sidecar; called for each start of a sidecar
+	NewCommand        func() *exec.Cmd   // returns a command that runs one sidecar; called for each start of a sidecar
 	UsesOperatorsFile bool               // whether all sidecars run "serve --config FILE" with an operators' file; if not, those outside a cluster get ROUTER_CONFIG
 	LogDir            string             // directory in which sidecars' logs and configurations are kept; empty: they are deleted
-	Progress          func(now Snapshot) // called at each sampleInterval from one goroutine; may be nil
+	OnProgress        func(now Snapshot) // called at each sampleInterval from one goroutine; may be nil
 }
 
 // Snapshot is the progress of a run.
--- a/internal/testkit/rehearse/run_test.go
+++ b/internal/testkit/rehearse/run_test.go
@@ -21,7 +21,7 @@
 	dir := t.TempDir()
 	ctx, interrupt := context.WithCancel(context.Background())
 	defer interrupt()
-	opt := Options{LogDir: dir, Command: sidecarCommand("good"), Progress: func(s Snapshot) {
+	opt := Options{LogDir: dir, NewCommand: sidecarCommand("good"), OnProgress: func(s Snapshot) {
 		if s.Elapsed > 500*time.Millisecond {
 			interrupt()
 		}
@@ -57,7 +57,7 @@
 		"port in use":     sidecarCommand("occupies its own port"),
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := Run(context.Background(), newTestPlan(t), Options{Command: command})
+			_, err := Run(context.Background(), newTestPlan(t), Options{NewCommand: command})
 			if err == nil || strings.Contains(err.Error(), "\n") {
 				t.Errorf("Run returned error %v, want one of a single line", err)
 			}
--- a/internal/testkit/rehearse/sidecar_process.go
+++ b/internal/testkit/rehearse/sidecar_process.go
@@ -134,7 +134,7 @@
 	isCrash := !p.isExitExpected
 	p.cmd = nil
 	p.mu.Unlock()
-	p.recorder.Add(invariant.Event{Kind: invariant.SidecarExited, Sidecar: p.name, Crash: isCrash})
+	p.recorder.Add(invariant.Event{Kind: invariant.SidecarExited, Sidecar: p.name, HasCrashed: isCrash})
 	close(exited)
 	if isCrash {
 		p.onCrash(p)
--- a/internal/testkit/rehearse/table.go
+++ b/internal/testkit/rehearse/table.go
@@ -56,7 +56,7 @@
 		"%.1f s of CPU and %.0f MB, its sidecars %.1f s and up to %.0f MB each\n",
 		1000*h.SendLatenessP99, 1000*h.SendLatenessMax, h.Stalls, defaultDay().Rules.Tolerance,
 		h.CPUSeconds, h.MemoryMB, h.SidecarsCPUSeconds, h.SidecarMemoryMB)
-	for _, reason := range r.Invalid {
+	for _, reason := range r.InvalidReasons {
 		fmt.Fprintf(b, "NOT VALID: %s\n", reason)
 	}
 }
@@ -72,7 +72,7 @@
 	}
 	p, c := &r.Penalties, &r.Requests
 	fmt.Fprintf(&rows, "points of service\t%.1f\tprices: connections %.1f, waste %.1f, late failures %.1f, slow by overload %.1f\n",
-		r.Service, p.Connections, p.Waste, p.LateFailures, p.Overload)
+		r.ServicePoints, p.Connections, p.Waste, p.LateFailures, p.Overload)
 	fmt.Fprintf(&rows, "first tries\t%d\tserved %d (%d of them late), refused %d, failed %d, no answer %d\n",
 		c.Total, c.Served, c.Late, c.Rejected, c.Failed, c.Unanswered)
 	fmt.Fprintf(&rows, "for each\t%.2f\tattempts at the first tier, %.2f calls in all tiers, %.3f connections\n",
@@ -139,14 +139,14 @@
 	for _, r := range results {
 		c := r.Requests
 		fmt.Fprintf(&rows, "%s\t%d\t%v\t%s\t%.1f\t%.3f\t%.3f\t%.3f\t%.1f%%\t%.1f%%\t%.1f%%\t%.2f s\t%s\n",
-			r.Day, r.Seed, r.Demand, r.Balancer, r.Service, r.InTimeFraction, r.WorstWindowFraction, minFraction(r.ByTenant),
+			r.Day, r.Seed, r.Demand, r.Balancer, r.ServicePoints, r.InTimeFraction, r.WorstWindowFraction, minFraction(r.ByTenant),
 			percent(c.Served, c.Total), percent(c.Rejected, c.Total), percent(c.Failed+c.Unanswered, c.Total),
 			r.Latency["all"].P99, verdictSummary(r))
 	}
 	writeColumns(b, rows.String())
 	writeSpread(b, results)
 	for _, r := range results {
-		for _, reason := range r.Invalid {
+		for _, reason := range r.InvalidReasons {
 			fmt.Fprintf(b, "NOT VALID: %s, seed %d, %s: %s\n", r.Day, r.Seed, r.Balancer, reason)
 		}
 	}
@@ -188,7 +188,7 @@
 		if serviceByGroup[g] == nil {
 			groups = append(groups, g)
 		}
-		serviceByGroup[g] = append(serviceByGroup[g], r.Service)
+		serviceByGroup[g] = append(serviceByGroup[g], r.ServicePoints)
 	}
 	if len(serviceByGroup) == len(results) {
 		return
--- a/internal/testkit/rehearse/validity.go
+++ b/internal/testkit/rehearse/validity.go
@@ -21,7 +21,7 @@
 func (r *rehearsal) validate(result *Result, events []invariant.Event, dayStart time.Duration) {
 	rules, harness := r.plan.Day.Rules, &result.Harness
 	invalidate := func(format string, args ...any) {
-		result.Invalid = append(result.Invalid, fmt.Sprintf(format, args...))
+		result.InvalidReasons = append(result.InvalidReasons, fmt.Sprintf(format, args...))
 	}
 	if limit := maxSendLatenessFraction * rules.Tolerance.Seconds(); harness.SendLatenessP99 > limit {
 		invalidate("1 send of 100 was %.0f ms late or more, %.0f ms are allowed: "+
@@ -54,5 +54,5 @@
 	if violationsNearStalls > 0 {
 		invalidate("%d breaks of a rule lie within %v of a pause of the rehearsal's own", violationsNearStalls, stallProximity)
 	}
-	result.Valid = len(result.Invalid) == 0
+	result.Valid = len(result.InvalidReasons) == 0
 }
--- a/internal/testkit/rehearse/validity_test.go
+++ b/internal/testkit/rehearse/validity_test.go
@@ -18,10 +18,10 @@
 		result := &Result{Harness: harness, Invariants: &invariant.Report{}}
 		result.Invariants.Rules[2].Violations = []invariant.Violation{{Rule: 3, At: 5 * time.Second}}
 		r.validate(result, events, time.Minute)
-		if result.Valid != (len(result.Invalid) == 0) {
-			t.Errorf("result has Valid = %v with the reasons %v", result.Valid, result.Invalid)
+		if result.Valid != (len(result.InvalidReasons) == 0) {
+			t.Errorf("result has Valid = %v with the reasons %v", result.Valid, result.InvalidReasons)
 		}
-		return result.Invalid
+		return result.InvalidReasons
 	}
 	stall := func(at time.Duration) invariant.Event {
 		return invariant.Event{Kind: invariant.HarnessStall, At: time.Minute + at, Duration: 60 * time.Millisecond}
--- a/internal/testkit/swimsim/simulation.go
+++ b/internal/testkit/swimsim/simulation.go
@@ -216,7 +216,7 @@
 		}
 		delay := minDelay + time.Duration(s.rng.Int64N(int64(delayJitter)))
 		switch {
-		case e.Stream && s.rng.Float64() < s.options.LossFraction:
+		case e.NeedsStream && s.rng.Float64() < s.options.LossFraction:
 			delay += resendDelay
 		case s.rng.Float64() < s.options.LossFraction: // the message is lost, which can happen to a stream message as well
 			continue
--- a/internal/testkit/swimsim/table.go
+++ b/internal/testkit/swimsim/table.go
@@ -121,9 +121,9 @@
 	return sim.Now - healedAt
 }
 
-// Tables measures the failure detector and writes two tables: one by cluster size, and by message loss and slow nodes with and
+// WriteTables measures the failure detector and writes two tables: one by cluster size, and by message loss and slow nodes with and
 // without swim's Lifeguard extensions; one by probe interval and suspicion timeout.
-func Tables(out io.Writer, sizes []int, seed uint64) error {
+func WriteTables(out io.Writer, sizes []int, seed uint64) error {
 	var rows strings.Builder
 	fmt.Fprintln(&rows, "daemons\tloss\tslow\tLifeguard\tfalse/h\tfirst knows: middle\tmost\tall know: middle\tmost\tmessages/s\tbytes/s\tviews equal after a cut")
 	writeRow := func(c MeasuredCluster, withCut bool) {
--- a/internal/testkit/testpeer/testpeer.go
+++ b/internal/testkit/testpeer/testpeer.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// OpenDescriptors returns the number of file descriptors that this process has open, sockets included.
-func OpenDescriptors() int {
+// CountOpenDescriptors returns the number of file descriptors that this process has open, sockets included.
+func CountOpenDescriptors() int {
 	descriptors, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		panic(err)
@@ -111,33 +111,33 @@
 	return len(descriptors)
 }
 
-// Members encodes a discovery agent's message of the given list version. The message is a complete endpoint list if full is set, else an
+// EncodeMembers encodes a discovery agent's message of the given list version. The message is a complete endpoint list if full is set, else an
 // update of the endpoints in entries. Each entry is a result of Member.
-func Members(version int, full bool, entries ...string) string {
+func EncodeMembers(version int, full bool, entries ...string) string {
 	return fmt.Sprintf(`{"version":%d,"full":%v,"servers":[%s]}`, version, full, strings.Join(entries, ","))
 }
 
-// Member encodes one endpoint, as an entry for Members. The endpoint is in zone "z" and cell 3, and is of kind "k" and weight 1.
-func Member(id, addr, state string) string {
+// EncodeMember encodes one endpoint, as an entry for Members. The endpoint is in zone "z" and cell 3, and is of kind "k" and weight 1.
+func EncodeMember(id, addr, state string) string {
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"z","kind":"k","cell":3,"state":%q,"weight":1.0,"started_ms":0}`, id, addr, state)
 }
 
 // ScriptedAgent is a discovery agent that writes the next of its steps in response to each request. After the last step it
 // leaves requests unanswered until the client disconnects.
 type ScriptedAgent struct {
-	Steps   []string    // response bodies, in order; the suffix "SILENT" is not written, but keeps the response open until the client disconnects
-	Queries chan string // receives the raw query of each request, before the response is written
+	Responses []string    // response bodies, in order; the suffix "SILENT" is not written, but keeps the response open until the client disconnects
+	Queries   chan string // receives the raw query of each request, before the response is written
 }
 
 // ServeHTTP implements http.Handler.
 func (a *ScriptedAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	a.Queries <- r.URL.RawQuery
-	if len(a.Steps) == 0 {
+	if len(a.Responses) == 0 {
 		<-r.Context().Done()
 		return
 	}
-	step := a.Steps[0]
-	a.Steps = a.Steps[1:]
+	step := a.Responses[0]
+	a.Responses = a.Responses[1:]
 	body, holdOpen := strings.CutSuffix(step, "SILENT")
 	_, _ = io.WriteString(w, body) // an error means that the sidecar has disconnected; it polls again
 	w.(http.Flusher).Flush()
--- a/internal/upstream/connection_pool.go
+++ b/internal/upstream/connection_pool.go
@@ -180,9 +180,9 @@
 	return p != nil && p == c.pool && p.acceptsRequests && p.address == c.address
 }
 
-// HasIdle reports whether the endpoint has a usable idle connection. It checks each connection and closes the unusable ones it
+// HasIdleConnection reports whether the endpoint has a usable idle connection. It checks each connection and closes the unusable ones it
 // finds, since an endpoint may have closed connections after the last sweep.
-func (cl *Client) HasIdle(id string) bool {
+func (cl *Client) HasIdleConnection(id string) bool {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	p := cl.pools[id]
--- a/internal/upstream/connection_pool_test.go
+++ b/internal/upstream/connection_pool_test.go
@@ -168,17 +168,17 @@
 		return false
 	})
 	client := newTestClient(t, e.Addr)
-	if client.HasIdle("a") || client.HasIdle("unknown") {
-		t.Error("HasIdle is true before the first attempt, want false")
+	if client.HasIdleConnection("a") || client.HasIdleConnection("unknown") {
+		t.Error("HasIdleConnection is true before the first attempt, want false")
 	}
 	if r := attempt(t, client, "a", getRequest("/c")); r != balance.OK {
 		t.Fatalf("result %v, want %v", r, balance.OK)
 	}
-	if !client.HasIdle("a") {
-		t.Error("HasIdle is false after a response, want true")
+	if !client.HasIdleConnection("a") {
+		t.Error("HasIdleConnection is false after a response, want true")
 	}
 	close(release)
-	testpeer.Eventually(t, "HasIdle is false after the endpoint has closed the connection", func() bool { return !client.HasIdle("a") })
+	testpeer.Eventually(t, "HasIdleConnection is false after the endpoint has closed the connection", func() bool { return !client.HasIdleConnection("a") })
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	if client.openCount != 0 {
