--- a/balance/admission.go
+++ b/balance/admission.go
@@ -8,8 +8,8 @@
 // Constants of admission control, which limits tenants to their quotas and sheds load when capacity is short.
 const (
 	quotaBurstSeconds     = 1.0  // size of a tenant's token bucket, in seconds of its quota
-	shedStretch           = 1.2  // recent latency / baseline above which requests over quota may be shed
-	highRateQuotaMultiple = 1.3  // multiple of this balancer's quotas above which a request rate is high
+	shedStretch           = 1.2  // recent latency / baseline latency above which over-quota load may be shed
+	highRateQuotaMultiple = 1.3  // request rate / Balancer.totalQuota above which the request rate is high
 	maxQueueTimeFraction  = 0.05 // longest time in the queue, as a fraction of meanLatencyObjective
 
 	// minTimeLeftFraction is the least time to its deadline with which a request is admitted while others are
@@ -49,8 +49,8 @@
 	if t == nil || t.Quota <= 0 || b.settings.Tier > 0 {
 		return false
 	}
-	rate := t.Quota / float64(max(b.settings.Balancers, 1))
-	t.tokens = min(t.tokens+rate*(now-t.refilledAt).Seconds(), max(rate*quotaBurstSeconds, 1))
+	refillRate := t.Quota / float64(max(b.settings.Balancers, 1))
+	t.tokens = min(t.tokens+refillRate*(now-t.refilledAt).Seconds(), max(refillRate*quotaBurstSeconds, 1))
 	t.refilledAt = now
 	if t.tokens < 1 {
 		return true
@@ -73,16 +73,16 @@
 	return min(req.giveUpAt, req.arrivedAt+seconds(maxQueueTimeFraction*b.meanLatencyObjective))
 }
 
-// canMeetDeadline reports whether the time until the request is given up is at least the given fraction of
+// canMeetDeadline reports whether the time until the request is given up is at least latencyFraction times
 // the latency expected at the fastest active endpoint.
-func (b *Balancer) canMeetDeadline(now time.Duration, req *request, fraction float64) bool {
-	return now+seconds(b.baselineSeconds(req)*b.smallestActiveWeight()*fraction) <= req.giveUpAt
+func (b *Balancer) canMeetDeadline(now time.Duration, req *request, latencyFraction float64) bool {
+	return now+seconds(b.baselineSeconds(req)*b.smallestActiveWeight()*latencyFraction) <= req.giveUpAt
 }
 
 // rejectOrFail sends the final response: a rejection if a retry by the client is harmless, else a failure.
 func (b *Balancer) rejectOrFail(now time.Duration, req *request) {
 	if req.isQueued && len(req.attempts) == 0 && float64(b.inFlight) < b.concurrencyLimit {
-		b.admittedCounter.add(now) // the request counts as admitted: it only lacked an endpoint
+		b.admittedCounter.add(now) // admitted by the concurrency limit, but no endpoint could take it
 	}
 	if req.canReject() {
 		b.host.Reject(req.ID, min(b.jitter(meanRetryAfter), b.settings.MaxRetryAfter))
@@ -96,7 +96,7 @@
 // buffered and the request is idempotent or has an idempotency key by which all endpoints drop duplicates.
 func (r *request) canReject() bool {
 	c := r.class
-	isIdempotent := c.Idempotency == Idempotent || c.Idempotency == IdempotencyKey && c.DedupScope == ScopeAll
-	return isIdempotent && r.StreamUntil == 0 ||
+	mayRunTwice := c.Idempotency == Idempotent || c.Idempotency == IdempotencyKey && c.DedupScope == ScopeAll
+	return mayRunTwice && r.StreamUntil == 0 ||
 		!slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.inFlight || a.mayHaveRun })
 }
--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -83,7 +83,7 @@
 		t.Fatal("no request over quota was rejected, want at least 1")
 	}
 	for i := 12; i <= h.requestCount; i++ {
-		if isSmall := i%2 == 1; isSmall && rejected["r"+strconv.Itoa(i)] {
+		if isWithinQuota := i%2 == 1; isWithinQuota && rejected["r"+strconv.Itoa(i)] {
 			t.Errorf("r%d was rejected although its tenant is within its quota", i)
 		}
 	}
@@ -124,10 +124,10 @@
 	s.Classes[0].LatencyObjective, s.Classes[1].LatencyObjective = 500*ms, 4*time.Second
 	h := newHarness(t, s, "a")
 	served, finished := map[string]int{}, []string{}
-	class := map[string]string{}
+	classByID := map[string]string{}
 	for i := range 1500 { // simulates 100 requests and 25 responses per second
 		id, _ := h.request([]string{"read", "bill"}[i%2])
-		class[id] = []string{"read", "bill"}[i%2]
+		classByID[id] = []string{"read", "bill"}[i%2]
 		h.advance(10 * ms)
 		if i%4 == 0 {
 			for j := 1; j <= h.requestCount; j++ {
@@ -135,7 +135,7 @@
 					!slices.Contains(h.actions, "fail "+id) {
 					finished = append(finished, id)
 					h.finish(id, balance.OK)
-					served[class[id]]++
+					served[classByID[id]]++
 					break
 				}
 			}
--- a/balance/api.go
+++ b/balance/api.go
@@ -39,8 +39,8 @@
 	// Probed reports the result of a load probe.
 	Probed(now time.Duration, p ProbeResult)
 	// SetEjected reports that operators eject an endpoint or, if ejected is false, restore it. An ejected endpoint gets no new
-	// attempt, whatever the endpoint list says, until it is restored. It then counts as restarted, and warms up. The ID need
-	// not be listed; the host bounds the number of ejected endpoints.
+	// attempt, whatever the endpoint list says, until operators restore it. A restored endpoint counts as restarted, and warms
+	// up. The ID need not be listed; the host bounds the number of ejected endpoints.
 	SetEjected(now time.Duration, id string, ejected bool)
 
 	// SetBalancerCount reports how many balancers send to these endpoints from now on, this balancer included, and the index
@@ -71,7 +71,7 @@
 	// HasIdleConnection reports whether a connection to the endpoint is idle, so that an attempt would not open one. It is
 	// false if the host does not know.
 	HasIdleConnection(endpoint string) bool
-	// Subscribe subscribes to all later changes in discovery, which responds with an endpoint list.
+	// Subscribe subscribes to the endpoint list: discovery sends a list in response, and an update for each later change.
 	Subscribe()
 	// Timer requests a Timer event at the given instant or soon after. Timers cannot be cancelled.
 	Timer(at time.Duration)
@@ -125,12 +125,14 @@
 	Classes    []Class  // classes of requests; a request of any other class counts as NonIdempotent
 	Tenants    []Tenant // tenants that have a quota
 
-	MustSubscribe   bool          // whether discovery sends updates only after Host.Subscribe
-	SubscribeWithin time.Duration // longest time that discovery may go without a subscription or a poll
+	MustSubscribe bool // whether discovery sends updates only after Host.Subscribe
+	// SubscribeWithin is the longest time that a balancer may be without a subscription to discovery or a poll of discovery. The
+	// backoff before a new subscription is at most half of it, or 500 ms if that is longer.
+	SubscribeWithin time.Duration
 
 	MaxAttempts   int           // attempts allowed per request; 0: no limit
 	CanCancel     bool          // whether the host may cancel attempts
-	CanProbe      bool          // whether the host may send load probes, and their results carry a load report
+	CanProbe      bool          // whether the host may send load probes, and endpoints respond to load probes with a load report
 	MaxRetryAfter time.Duration // longest Retry-After that clients honour; 0: Retry-After does not reach them
 
 	TimerResolution   time.Duration // longest delay with which the host reports events and timers
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -3,9 +3,10 @@
 // This file holds the Balancer's state, its events and the path of a request. The interface is in api.go;
 // each mechanism has its own file. The design is the round-robin (RR) policy of Cicconetti, Conti and
 // Passarella, "A Decentralized Framework for Serverless Edge Computing in the Internet of Things": each
-// endpoint has a weight, which is its smoothed latency; endpoints with at most twice the smallest weight are
-// active; a request goes to the active endpoint with the lowest deficit. Here a weight is a stretch: the
-// latency divided by the baseline latency of the request's class, so it is 1 without load.
+// endpoint has a weight; endpoints with at most twice the smallest weight are active; a request goes to the
+// active endpoint with the lowest deficit, which is the sum of the weights charged for the endpoint's
+// requests. In that policy a weight is a smoothed latency. Here it is a smoothed stretch: the latency divided
+// by the baseline latency of the request's class, so it is 1 without load.
 
 import (
 	"fmt"
@@ -24,7 +25,7 @@
 	host     Host
 	rng      *rand.Rand // source of all random choices, seeded by Settings.Seed
 
-	startedAt       time.Duration        // instant at which New was called; request rates count from then on
+	startedAt       time.Duration        // instant at which New was called and the counting of requests began
 	wakeupAt        time.Duration        // instant of the earliest timer set; 0: no timer is set
 	classes         map[string]*class    // classes of Settings, by name
 	tenants         map[string]*tenant   // tenants of Settings, by name
@@ -35,10 +36,10 @@
 	manuallyEjected map[string]bool      // IDs of endpoints ejected by operators, listed or not
 
 	subset               []*endpoint // endpoints that this balancer uses
-	subsetSizeByRate     float64     // subset size that the request rate requires; set if it changed by half
-	pickSample           []*endpoint // candidates of the last pick from a large subset
-	recentlyUsed         []*endpoint // endpoints of a large subset that were used last, oldest first
-	cachedSmallestWeight float64     // smallest weight of the active endpoints of a large subset
+	subsetSizeByRate     float64     // subset size for the request rate, updated after changes by over 50%
+	pickSample           []*endpoint // candidates of the last pick; used if fullScanLimit is exceeded
+	recentlyUsed         []*endpoint // last endpoints used, oldest first; empty unless the subset is large
+	cachedSmallestWeight float64     // smallest weight of the active endpoints, cached if the subset is large
 	cachedWeightUses     int         // number of times that cachedSmallestWeight may still be used
 
 	requests   map[string]*request // requests without a final response or with an attempt in flight, by ID
@@ -51,15 +52,15 @@
 	inFlight         int           // attempts that wait for a response, streaming bodies excluded
 	concurrencyLimit float64       // limit of inFlight, which retries may exceed
 	recentStretch    float64       // smoothed stretch (latency / baseline) of all responses
-	limitUpdatedAt   time.Duration // instant of the last response that updated recentStretch
+	stretchUpdatedAt time.Duration // instant of the last response that updated recentStretch
 	nextReductionAt  time.Duration // instant before which the concurrency limit is not reduced again
 
-	pacedRoundSeconds    float64 // result of slowStartRoundSeconds at the last rebuild of the subset
-	retryBudget          float64 // retries that may still be sent, at most maxRetryBudget
-	errorRate            float64 // fraction of error responses among recent results of all endpoints
-	meanReportedLoad     float64 // smoothed number of requests in the load reports of all endpoints
-	meanLatencyObjective float64 // mean latency objective of the classes, in seconds
-	totalQuota           float64 // this balancer's part of the quotas of all tenants, in requests per second
+	lastSlowStartRoundSeconds float64 // time between an endpoint's requests at the last rebuild of the subset
+	retryBudget               float64 // retries that may still be sent, at most maxRetryBudget
+	errorRate                 float64 // fraction of error responses among recent results of all endpoints
+	meanReportedLoad          float64 // smoothed number of requests in the load reports of all endpoints
+	meanLatencyObjective      float64 // mean latency objective of the classes, in seconds
+	totalQuota                float64 // this balancer's part of all tenants' quotas, in requests per second
 
 	requestCounter  decayingCounter          // number of all requests, rejected ones included
 	admittedCounter decayingCounter          // number of requests sent, or rejected for lack of an endpoint
@@ -111,7 +112,7 @@
 		b.resetEndpoint(now, ep, isFirstList)
 	}
 	if isFirstList {
-		b.concurrencyLimit, availableBefore = initialLimitPerEndpoint*b.endpointsPerBalancer(), 0
+		b.concurrencyLimit, availableBefore = initialLimitPerEndpoint*b.endpointShare(), 0
 	}
 	b.applyAvailabilityChange(now, availableBefore)
 }
@@ -188,7 +189,7 @@
 		} else {
 			ep = b.pickBelowFairUsage(now, req)
 		}
-		if ep == nil && isRetry { // an endpoint that drops duplicates may be outside the subset
+		if ep == nil && isRetry { // search all: endpoints that drop duplicates may be outside the subset
 			ep = b.pick(now, req, b.endpoints)
 		}
 		if ep != nil {
@@ -220,7 +221,8 @@
 	b.queue = slices.DeleteFunc(b.queue, func(req *request) bool { return !req.isQueued })
 }
 
-// send charges the endpoint's deficit and calls Host.Send for the next attempt of the request.
+// send charges the request to an active endpoint (see chargeDeficit) and calls Host.Send for the next
+// attempt.
 func (b *Balancer) send(now time.Duration, req *request, ep *endpoint) {
 	if b.capacityFraction(now, ep) < 1 {
 		ep.slowStartNextAt = now + b.slowStartInterval(now, ep)
@@ -252,7 +254,7 @@
 	b.countInFlight(att, -1)
 	req.bodyConsumed = req.bodyConsumed || o.BodyConsumed
 	if !att.responseStreaming {
-		if req.StreamUntil > 0 { // exclude the time that the client took to send the body
+		if req.StreamUntil > 0 { // the latency excludes the time that the client took to send the body
 			o.Latency = now - att.waitingSince
 		}
 		b.recordResult(now, req, att, attributedResult(o), o.Latency)
@@ -264,7 +266,7 @@
 	case b.canRetry(now, req) && slices.ContainsFunc(b.endpoints, func(ep *endpoint) bool {
 		return ep.isAvailable() && b.isSafeToSend(now, req, ep)
 	}):
-		if o.Result != ConnectFailed { // a failed connect costs no budget, as it adds no load
+		if o.Result != ConnectFailed { // a failed connect costs no retry budget, as it adds no load
 			b.retryBudget--
 		}
 		b.dispatch(now, req)
--- a/balance/concurrency_test.go
+++ b/balance/concurrency_test.go
@@ -47,33 +47,33 @@
 // serviceTime. It returns the most requests that an endpoint had at once in the second half of the duration, and the number
 // of requests served.
 func (h *harness) offerLoad(interval, serviceTime, duration time.Duration, endpoints ...string) (maxQueued, served int) {
-	queue, serviceProgress, startedAt := map[string][]string{}, map[string]time.Duration{}, h.now
+	queues, serviceProgress, startedAt := map[string][]string{}, map[string]time.Duration{}, h.now
 	for h.now < startedAt+duration {
 		if id, ep := h.request("read"); ep != "" {
-			queue[ep] = append(queue[ep], id)
+			queues[ep] = append(queues[ep], id)
 		}
 		for next := h.now + interval; h.now < next; {
 			actionsBefore := len(h.actions)
 			h.advance(ms)
 			for _, ep := range endpoints {
-				if serviceProgress[ep] += ms; serviceProgress[ep] >= serviceTime || len(queue[ep]) == 0 {
+				if serviceProgress[ep] += ms; serviceProgress[ep] >= serviceTime || len(queues[ep]) == 0 {
 					serviceProgress[ep] = 0
-					if len(queue[ep]) > 0 {
-						id := queue[ep][0]
-						queue[ep] = queue[ep][1:]
+					if len(queues[ep]) > 0 {
+						id := queues[ep][0]
+						queues[ep] = queues[ep][1:]
 						h.finish(id, balance.OK)
 						served++
 					}
 				}
 			}
 			for _, d := range h.actions[actionsBefore:] { // requests that the balancer had queued and sent in this millisecond
-				if f := strings.Fields(d); f[0] == "send" && !slices.Contains(queue[f[2]], f[1]) {
-					queue[f[2]] = append(queue[f[2]], f[1])
+				if f := strings.Fields(d); f[0] == "send" && !slices.Contains(queues[f[2]], f[1]) {
+					queues[f[2]] = append(queues[f[2]], f[1])
 				}
 			}
 			for _, ep := range endpoints {
 				if h.now > startedAt+duration/2 {
-					maxQueued = max(maxQueued, len(queue[ep]))
+					maxQueued = max(maxQueued, len(queues[ep]))
 				}
 			}
 		}
@@ -123,25 +123,25 @@
 
 // measureMaxInFlight sends more requests than the limit admits for the given duration, with a latency of 100 ms, and returns the
 // most attempts in flight at once.
-func (h *harness) measureMaxInFlight(duration time.Duration) (most int) {
-	var inFlight []string
+func (h *harness) measureMaxInFlight(duration time.Duration) (maxInFlight int) {
+	var inFlightIDs []string
 	actionsSeen := 0
 	for startedAt := h.now; h.now < startedAt+duration; h.advance(ms) {
-		for len(inFlight) > 0 && h.now >= h.sentAt[inFlight[0]]+100*ms {
-			h.finish(inFlight[0], balance.OK)
-			inFlight = inFlight[1:]
+		for len(inFlightIDs) > 0 && h.now >= h.sentAt[inFlightIDs[0]]+100*ms {
+			h.finish(inFlightIDs[0], balance.OK)
+			inFlightIDs = inFlightIDs[1:]
 		}
 		if h.requestCount%2 == 0 || h.now%(3*ms) == 0 {
 			h.request("read")
 		}
 		for ; actionsSeen < len(h.actions); actionsSeen++ {
 			if f := strings.Fields(h.actions[actionsSeen]); f[0] == "send" {
-				inFlight = append(inFlight, f[1])
+				inFlightIDs = append(inFlightIDs, f[1])
 			}
 		}
-		most = max(most, len(inFlight))
+		maxInFlight = max(maxInFlight, len(inFlightIDs))
 	}
-	return most
+	return maxInFlight
 }
 
 // Clients are spread unevenly, so the limit of a first-tier balancer with several times the mean rate must grow quickly
--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -2,15 +2,18 @@
 
 import "time"
 
-// Constants of outlier ejection. An endpoint that does not respond, or whose weight exceeds activeFactor
-// times the smallest, is ejected. After a backoff it gets a single trial request, and becomes active again or
-// backs off for twice as long.
+// Constants of outlier ejection. An endpoint that does not respond, or whose weight exceeds
+// maxActiveWeightRatio times the smallest weight, is ejected. After a backoff it gets a single trial request,
+// and becomes active again or backs off for twice as long.
 const (
-	activeFactor         = 2.0                    // largest weight of an active endpoint / smallest weight
+	maxActiveWeightRatio = 2.0                    // largest weight of an active endpoint / smallest weight
 	minBackoff           = 500 * time.Millisecond // least initial backoff; b_min in Cicconetti et al.
-	maxBackoffMultiple   = 8                      // largest backoff / initial backoff, to notice recoveries
 	outlierErrorMultiple = 1.5                    // error rate of an outlier, as a multiple of b.errorRate
-	overdueMultiple      = 3.0                    // expected latencies after which an attempt is overdue
+	overdueMultiple      = 3.0                    // time after which an attempt is overdue / expected latency
+
+	// maxBackoffMultiple is the largest backoff, as a multiple of the initial backoff. The backoff is
+	// limited so that the recovery of an endpoint is noticed.
+	maxBackoffMultiple = 8
 )
 
 // resetEndpoint resets the state of a new or restarted endpoint, which becomes active by a trial. The instant
@@ -52,7 +55,7 @@
 	case Reset: // the endpoint is assumed to restart and to warm up afterwards
 		ep.Started = max(ep.Started, now)
 	}
-	if r == Canceled || r == NotSent { // the attempt gives no latency sample, but an overdue trial has failed
+	if r == Canceled || r == NotSent { // no latency sample; a trial has failed only if it was overdue
 		if att.isTrial {
 			ep.trialInFlight = false
 			b.scheduleTrial(now, ep, att.wasOverdue)
@@ -60,8 +63,8 @@
 		return
 	}
 	if hasFailed {
-		timeout := (req.Deadline - att.waitingSince).Seconds()
-		stretch = min(max(stretch, timeout/b.baselineSeconds(req)), maxSampleStretch)
+		timeoutSeconds := (req.Deadline - att.waitingSince).Seconds()
+		stretch = min(max(stretch, timeoutSeconds/b.baselineSeconds(req)), maxSampleStretch)
 	}
 	if att.isTrial {
 		b.finishTrial(now, ep, stretch, hasFailed)
@@ -93,7 +96,7 @@
 	att := &req.attempts[i]
 	ep, isSilent := att.endpoint, att.endpoint.lastResponseAt < att.waitingSince
 	att.wasOverdue, att.overdueAt = true, now+(now-att.waitingSince)
-	if att.bodyStreaming { // the duration of a stream is no latency sample and must not delay the next trial
+	if att.bodyStreaming { // no latency sample; the next trial does not wait for the stream's end
 		if att.isTrial {
 			att.isTrial, ep.trialInFlight = false, false
 			b.scheduleTrial(now, ep, false)
@@ -128,17 +131,18 @@
 	ep.nextTrialAt = now + b.jitter(ep.backoff)
 }
 
-// finishTrial makes the endpoint active after a successful trial, with a deficit equal to its weight as in
-// the RR policy (see balancer.go), or schedules another trial.
+// finishTrial makes the endpoint active after a successful trial, or schedules another trial. When an
+// endpoint becomes active, the lowest deficit is subtracted from all deficits, and the endpoint's own deficit
+// is set to its weight, as in the RR policy (see balancer.go).
 func (b *Balancer) finishTrial(now time.Duration, ep *endpoint, stretch float64, hasFailed bool) {
 	ep.trialInFlight, ep.sampleSum, ep.sampleCount, ep.lastSampleAt = false, stretch/ep.kind.weight, 1, now
-	active := b.summarizeActive()
-	if hasFailed || active.count > 0 && ep.weight() > activeFactor*active.smallestWeight {
+	summary := b.summarizeActive()
+	if hasFailed || summary.count > 0 && ep.weight() > maxActiveWeightRatio*summary.smallestWeight {
 		b.scheduleTrial(now, ep, true)
 		return
 	}
 	for _, other := range b.subset {
-		other.deficit -= active.lowestDeficit
+		other.deficit -= summary.lowestDeficit
 	}
 	ep.active, ep.ejected, ep.deficit = true, false, ep.weight()
 }
--- a/balance/ejection_test.go
+++ b/balance/ejection_test.go
@@ -44,7 +44,7 @@
 	h := newHarness(t, defaultSettings(), "a", "b", "c", "hung")
 	latency := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "hung": 50 * ms}
 	h.serve(100, latency)
-	hungRequests, start := 0, h.now
+	hungRequests, startedAt := 0, h.now
 	for range 200 {
 		id, ep := h.request("read")
 		if ep == "hung" {
@@ -55,12 +55,13 @@
 		h.advance(20 * ms)
 		h.finish(id, balance.OK)
 	}
-	if trials := int((h.now - start) / (500 * ms)); hungRequests > 5+trials {
+	if trials := int((h.now - startedAt) / (500 * ms)); hungRequests > 5+trials {
 		t.Errorf("the hung endpoint got %d of 200 requests, want 5 and %d trials at most", hungRequests, trials)
 	}
 }
 
-// An endpoint that does not respond is ejected before an attempt times out and before its weight exceeds activeFactor.
+// An endpoint that does not respond is ejected when its first attempt is overdue. The timeout of the attempt would come later, and
+// the latency sample of one overdue attempt does not yet raise the endpoint's weight enough for an ejection.
 func TestUnresponsiveEndpointIsEjectedAtItsFirstOverdueAttempt(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b", "c", "d")
 	h.serve(200, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms})
@@ -71,7 +72,9 @@
 			h.finish(id, balance.OK)
 		}
 	}
-	h.advance(200 * ms) // more than overdueMultiple (3) times 50 ms; one sample of stretch 3 keeps d's weight within activeFactor
+	// The attempt is overdue after 150 ms, which is overdueMultiple (3) times the latency of 50 ms. Its sample, a stretch of 3, is
+	// averaged with earlier samples, so that endpoint d stays within maxActiveWeightRatio.
+	h.advance(200 * ms)
 	if counts := h.serve(6, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms}); counts["d"] > 0 {
 		t.Errorf("the endpoint that does not respond got %d of 6 requests, want none", counts["d"])
 	}
@@ -80,11 +83,11 @@
 func TestFailedConnectEjectsAnEndpointUntilATrialSucceeds(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b", "c", "down")
 	h.serve(100, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "down": 50 * ms})
-	attempts, start := []time.Duration{}, h.now
-	for h.now < start+20*time.Second {
+	attemptedAt, startedAt := []time.Duration{}, h.now
+	for h.now < startedAt+20*time.Second {
 		id, ep := h.request("read")
 		if ep == "down" {
-			attempts = append(attempts, h.now)
+			attemptedAt = append(attemptedAt, h.now)
 			h.finish(id, balance.ConnectFailed)
 			if n := len(h.sentTo[id]); n != 2 || h.sentTo[id][1] == "down" {
 				t.Fatalf("the request was sent to %v, want a retry at another endpoint after the failed connect", h.sentTo[id])
@@ -93,11 +96,13 @@
 		h.advance(20 * ms)
 		h.finish(id, balance.OK)
 	}
-	if len(attempts) < 4 || len(attempts) > 12 {
-		t.Errorf("the endpoint that is down got %d attempts in 20 s, want 4 to 12", len(attempts))
+	if len(attemptedAt) < 4 || len(attemptedAt) > 12 {
+		t.Errorf("the endpoint that is down got %d attempts in 20 s, want 4 to 12", len(attemptedAt))
 	}
-	for i := 3; i < len(attempts); i++ { // from trial 3 on the backoff has doubled, so that jitter cannot reduce it to 500 ms
-		if wait := attempts[i] - attempts[i-1]; wait < 500*ms {
+	// By index 3, a failed trial has doubled the initial backoff, which is at least 500 ms. Jitter cannot make the doubled backoff
+	// shorter than 500 ms.
+	for i := 3; i < len(attemptedAt); i++ {
+		if wait := attemptedAt[i] - attemptedAt[i-1]; wait < 500*ms {
 			t.Errorf("trial %d came %v after the one before, want at least 500 ms", i, wait)
 		}
 	}
@@ -127,18 +132,18 @@
 		latency[names[i+1]] = 50 * ms
 	}
 	h := newHarness(t, defaultSettings(), names...)
-	slowCount := 0
+	slowEndpointRequests := 0
 	for range 400 { // two requests per second; an even part is one request per endpoint every 10 s
 		id, ep := h.request("read")
 		if ep == "slow" {
-			slowCount++
+			slowEndpointRequests++
 		}
 		h.advance(latency[ep])
 		h.finish(id, balance.OK)
 		h.advance(500*ms - min(latency[ep], 400*ms))
 	}
-	if slowCount > 14 {
-		t.Errorf("the slow endpoint got %d of 400 requests, want 14 at most; an even part is 20", slowCount)
+	if slowEndpointRequests > 14 {
+		t.Errorf("the slow endpoint got %d of 400 requests, want 14 at most; an even part is 20", slowEndpointRequests)
 	}
 }
 
@@ -194,7 +199,7 @@
 	latency := map[string]time.Duration{"a": 50 * ms, "b": 50 * ms}
 	h.serve(100, latency)
 	canceledCount := 0
-	for range 40 { // attempts at b are cancelled after 1 ms, those at a succeed
+	for range 40 { // attempts at endpoint b are cancelled after 1 ms, and attempts at endpoint a succeed
 		id, ep := h.request("read")
 		if ep == "b" {
 			h.advance(ms)
--- a/balance/endpoint.go
+++ b/balance/endpoint.go
@@ -5,11 +5,11 @@
 // endpoint is the state of one listed endpoint.
 type endpoint struct {
 	Endpoint       // entry of the endpoint in the endpoint list
-	kind     *kind // estimate that all endpoints of the same kind share
+	kind     *kind // weight shared by all endpoints with the same Endpoint.Kind
 
 	active         bool          // whether the endpoint may get requests other than trials
 	deficit        float64       // sum of weights charged for the endpoint's requests; Δ in the RR policy
-	sampleSum      float64       // decayed sum of samples, each a stretch divided by the kind's weight
+	sampleSum      float64       // decayed sum of samples; a sample is a stretch divided by kind.weight
 	sampleCount    float64       // decayed number of the samples in sampleSum
 	errorRate      float64       // fraction of error responses among the endpoint's recent results
 	lastSampleAt   time.Duration // instant of the last latency sample
--- a/balance/ewma.go
+++ b/balance/ewma.go
@@ -16,9 +16,9 @@
 	c.count, c.updatedAt = c.count*ewmaDecay(now-c.updatedAt)+1, now
 }
 
-// perSecond returns the recent rate of events, in events per second. It divides the count by the weight of
-// the time since startedAt, at which the counting began, so that the rate is not too low soon after the
-// start.
+// perSecond returns the recent rate of events, in events per second. It divides the count by the count that
+// one event per second since startedAt would have given, so that the rate is not too low soon after
+// startedAt, at which the counting began.
 func (c *decayingCounter) perSecond(now, startedAt time.Duration) float64 {
 	return c.count * ewmaDecay(now-c.updatedAt) /
 		((1 - ewmaDecay(now-startedAt+time.Second)) * ewmaTimeConstant.Seconds())
--- a/balance/invariant_test.go
+++ b/balance/invariant_test.go
@@ -48,7 +48,7 @@
 	requests         map[string]*simRequest      // requests since the last restart of the balancer, by ID
 	openIDs          []string                    // IDs of requests that are not finished or have an attempt in flight
 	timers           []time.Duration             // instants of the timers that have not fired yet
-	probes           []string                    // IDs of endpoints whose load probes have no result yet
+	probedIDs        []string                    // IDs of endpoints whose load probes have no result yet
 	slowStartSends   map[string][]time.Duration  // instants of attempts at endpoints that are warming up, by endpoint ID
 	requestCount     int
 	isDraining       bool     // whether only open requests are simulated to their end, without new requests, lists or ejections
@@ -162,7 +162,7 @@
 	if sim.manuallyEjected[ep] {
 		sim.t.Fatalf("%v: Probe of %s, which is manually ejected", sim.now, ep)
 	}
-	sim.probes = append(sim.probes, ep)
+	sim.probedIDs = append(sim.probedIDs, ep)
 }
 func (sim *simulation) HasIdleConnection(string) bool { return sim.rng.IntN(2) == 0 }
 func (sim *simulation) Subscribe()                    {}
@@ -171,7 +171,7 @@
 
 // restart replaces the balancer. The new balancer does not know the requests of the replaced one.
 func (sim *simulation) restart(seed uint64) {
-	sim.requests, sim.openIDs, sim.timers, sim.probes = map[string]*simRequest{}, nil, nil, nil
+	sim.requests, sim.openIDs, sim.timers, sim.probedIDs = map[string]*simRequest{}, nil, nil, nil
 	sim.settings.Seed = seed
 	sim.balancer = balance.New(sim.now, sim.settings, sim)
 	l := balance.EndpointUpdate{Complete: true}
@@ -270,9 +270,9 @@
 	for range dueTimers {
 		sim.balancer.Timer(sim.now)
 	}
-	probes := sim.probes
-	sim.probes = nil
-	for _, ep := range probes {
+	probedIDs := sim.probedIDs
+	sim.probedIDs = nil
+	for _, ep := range probedIDs {
 		p := balance.ProbeResult{Endpoint: ep, Load: balance.Load{Known: true, Requests: float64(sim.rng.IntN(5))}}
 		if sim.rng.IntN(6) == 0 {
 			p.Result, p.Load.Known = balance.ConnectFailed, false
--- a/balance/large_subset_test.go
+++ b/balance/large_subset_test.go
@@ -65,8 +65,8 @@
 			t.Errorf("%d endpoints: requests have a standard deviation of %.3f and a largest deviation of %.3f, want 0.1 and 0.5 at most",
 				n, deviation, maxDeviation)
 		}
-		if fraction := slowMean / fastMean; fraction < 0.6 || fraction > 0.95 {
-			t.Errorf("%d endpoints: those with 1.4 times the latency get %.2f of the others' requests, want 0.6 to 0.95", n, fraction)
+		if slowToFastRatio := slowMean / fastMean; slowToFastRatio < 0.6 || slowToFastRatio > 0.95 {
+			t.Errorf("%d endpoints: those with 1.4 times the latency get %.2f of the others' requests, want 0.6 to 0.95", n, slowToFastRatio)
 		}
 	}
 }
@@ -92,26 +92,26 @@
 		}
 		return got
 	}
-	before := sendRequests(50)
+	countsBefore := sendRequests(50)
 	l := completeList(n + 10)
 	for i := range l.Endpoints {
-		if before[l.Endpoints[i].ID] > 0 {
+		if countsBefore[l.Endpoints[i].ID] > 0 {
 			l.Endpoints[i].State = balance.Draining
 		}
 	}
 	l.Endpoints = l.Endpoints[1:]
 	m.EndpointList(now, l)
-	after := sendRequests(20 * n)
-	for id := range before {
-		if after[id] > 0 {
-			t.Errorf("%s is draining and got %d requests, want none", id, after[id])
+	countsAfter := sendRequests(20 * n)
+	for id := range countsBefore {
+		if countsAfter[id] > 0 {
+			t.Errorf("%s is draining and got %d requests, want none", id, countsAfter[id])
 		}
 	}
-	if after["n00000"] > 0 {
-		t.Errorf("the endpoint that is gone got %d requests, want none", after["n00000"])
+	if countsAfter["n00000"] > 0 {
+		t.Errorf("the endpoint that is gone got %d requests, want none", countsAfter["n00000"])
 	}
 	for i := range 10 {
-		if id := fmt.Sprintf("n%05d", n+i); after[id] == 0 {
+		if id := fmt.Sprintf("n%05d", n+i); countsAfter[id] == 0 {
 			t.Errorf("the new endpoint %s got no request, want at least 1", id)
 		}
 	}
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -6,12 +6,12 @@
 )
 
 // Constants of the latency estimates: the baseline latency of each class, and the weights of endpoints and of
-// their kinds.
+// endpoint kinds (see Endpoint.Kind).
 const (
 	ewmaAlpha        = 0.95             // largest part of an old weight that is kept; α in Cicconetti et al.
 	ewmaTimeConstant = 10 * time.Second // longest time in which a sample's weight falls to 1/e
-	kindPriorSamples = 3.0              // number of samples of an endpoint that its kind's weight counts for
-	kindWeightGain   = 0.03             // least EWMA gain of a kind's weight, per response
+	kindPriorSamples = 3.0              // kind.weight counts as much as so many of an endpoint's own samples
+	kindWeightGain   = 0.03             // least EWMA gain of kind.weight, per response
 	recentMeanGain   = 0.05             // least EWMA gain of mean latency, error rate and load, per sample
 	maxSampleStretch = 20.0             // largest stretch that one sample contributes to a weight
 
@@ -23,13 +23,13 @@
 	baselineRiseTime        = 60 * time.Second // time constant of the baseline's rise to a higher mean
 )
 
-// kind holds the estimate that the endpoints of one kind have in common.
+// kind holds the weight that all endpoints with the same Endpoint.Kind share.
 type kind struct {
 	weight      float64 // smoothed stretch of the responses of all endpoints of the kind
 	sampleCount float64 // number of responses so far
 }
 
-// observe updates the weight of the kind with the stretch of a response.
+// observe updates the weight with the stretch of a response of an endpoint of this kind.
 func (k *kind) observe(stretch float64) {
 	k.sampleCount++
 	k.weight += (stretch - k.weight) * max(1/(k.sampleCount+2), kindWeightGain)
@@ -53,13 +53,14 @@
 }
 
 // addSample updates the endpoint's weight with a latency sample and ejects the endpoint if its weight now
-// exceeds activeFactor times the smallest active weight.
+// exceeds maxActiveWeightRatio times the smallest active weight.
 func (b *Balancer) addSample(now time.Duration, ep *endpoint, stretch float64) {
 	decay := math.Exp(-(now - ep.lastSampleAt).Seconds() / ewmaTimeConstant.Seconds())
-	retained := min(decay, 1-1/(1/(1-ewmaAlpha)-kindPriorSamples)) // fraction of the old sums that is kept
+	// retained is the fraction of sampleSum and sampleCount that is kept.
+	retained := min(decay, 1-1/(1/(1-ewmaAlpha)-kindPriorSamples))
 	ep.sampleSum = ep.sampleSum*retained + stretch/ep.kind.weight
 	ep.sampleCount, ep.lastSampleAt = ep.sampleCount*retained+1, now
-	if ep.active && ep.weight() > activeFactor*b.smallestActiveWeight() {
+	if ep.active && ep.weight() > maxActiveWeightRatio*b.smallestActiveWeight() {
 		b.eject(now, ep)
 	}
 }
--- a/balance/manual_ejection_test.go
+++ b/balance/manual_ejection_test.go
@@ -13,15 +13,15 @@
 	h.learnBaseline("read")
 	h.balancer.SetEjected(h.now, "a", true)
 	h.balancer.SetEjected(h.now, "a", true) // endpoint a is already ejected, so this has no effect
-	lists := []balance.EndpointUpdate{
+	updates := []balance.EndpointUpdate{
 		{Endpoints: []balance.Endpoint{{ID: "a", State: balance.Draining}}},
 		{Endpoints: []balance.Endpoint{{ID: "a", State: balance.Gone}}},
 		{Endpoints: []balance.Endpoint{{ID: "a", Started: h.now}}},
 		{Complete: true, Endpoints: []balance.Endpoint{{ID: "b"}}},
 		{Complete: true, Endpoints: []balance.Endpoint{{ID: "a"}, {ID: "b"}}},
 	}
-	for i, l := range lists {
-		h.balancer.EndpointList(h.now, l)
+	for i, u := range updates {
+		h.balancer.EndpointList(h.now, u)
 		for range 50 {
 			id, ep := h.request("read")
 			if ep != "b" {
@@ -34,7 +34,7 @@
 	if listed, ejected := h.balancer.EndpointCounts(); listed != 2 || ejected != 1 {
 		t.Errorf("%d endpoints are listed and %d ejected, want 2 and 1", listed, ejected)
 	}
-	h.balancer.SetEjected(h.now, "a", false) // one restoration undoes the two ejections of a
+	h.balancer.SetEjected(h.now, "a", false) // one restoration undoes both ejections of endpoint a
 	isUsed := false
 	for range 300 {
 		id, ep := h.request("read")
@@ -74,7 +74,7 @@
 	h := newHarness(t, defaultSettings(), "a", "b")
 	h.balancer.EndpointList(h.now, balance.EndpointUpdate{Endpoints: []balance.Endpoint{
 		{ID: "a", State: balance.Draining}, {ID: "b", State: balance.Draining}}})
-	queuedID := h.requestForTenant("read", "") // the request stays queued, as discovery may list other endpoints
+	queuedID := h.requestForTenant("read", "") // queued and not rejected, because no endpoint is ejected and discovery may list others
 	if h.countActions("reject") > 0 {
 		t.Fatal("a request was rejected while all endpoints are draining, want it queued")
 	}
@@ -132,8 +132,8 @@
 	h.balancer.SetEjected(h.now, "a", false)
 	// This list does not show that endpoint a has restarted.
 	h.balancer.EndpointList(h.now, balance.EndpointUpdate{Complete: true, Endpoints: []balance.Endpoint{{ID: "a"}, {ID: "b"}}})
-	h.finish(requestAtA, balance.Reset) // outcome of the attempt sent before a was ejected
-	h.finish(requestAtA, balance.OK)    // outcome of the retry at b
+	h.finish(requestAtA, balance.Reset) // outcome of the attempt sent before endpoint a was ejected
+	h.finish(requestAtA, balance.OK)    // outcome of the retry at endpoint b
 	restoredAt, sent := h.now, 0
 	for h.now < restoredAt+2*time.Second {
 		id, ep := h.request("read")
@@ -143,8 +143,8 @@
 		h.advance(2 * ms)
 		h.finish(id, balance.OK)
 	}
-	// At full capacity, endpoint a would get half of 500 requests per second. It starts with 0.3 of that capacity, and
-	// slowStartLoadMultiple gives it 1.5 times as many requests.
+	// If endpoint a were warm, it would get half of the 1000 requests. It gets fewer: its capacity rises from 0.3 of its full
+	// capacity, and an endpoint that is warming up gets slowStartLoadMultiple (1.5) times the requests in proportion to its capacity.
 	if sent == 0 || sent > 400 {
 		t.Errorf("%d of 1000 requests were sent to the restored endpoint within 2 s, want 1 to 400", sent)
 	}
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -6,17 +6,31 @@
 	"time"
 )
 
-// Constants of the pick, a deficit round robin over the active endpoints. Loads, idle connections and load
-// reports modify the deficit of the RR policy (see balancer.go).
+// Constants of the pick, a deficit round robin over the active endpoints. Requests at an endpoint, idle
+// connections and load reports modify the endpoint's deficit of the RR policy (see balancer.go).
 const (
-	inFlightCharge         = 1.0 // weights added to a deficit per request in flight, to avoid hung endpoints
-	idleConnectionDiscount = 2.0 // weights subtracted for an idle connection; 4 made 1% of responses late
-	reportedLoadCharge     = 0.5 // weights charged per request in a load report, to probe other endpoints
-	maxDeficitLag          = 2.0 // weights that a deficit may lag behind the picked endpoint's; bounds bursts
-	sharedLatencyFraction  = 0.7 // assumed part of the smallest weight that the tiers below cause
+	// inFlightCharge is added to the deficit of an endpoint for each request there, as a multiple of the
+	// endpoint's weight, so that endpoints that hang are avoided.
+	inFlightCharge = 1.0
 
-	// maxEndpointUsageMultiple is the largest number of attempts in flight that pickBelowFairUsage counts for
-	// one endpoint, as a multiple of an even part of the concurrency limit.
+	// idleConnectionDiscount is subtracted from the deficit of an endpoint with an idle connection, as a
+	// multiple of the endpoint's weight. A discount of 4 weights made 1% of responses late.
+	idleConnectionDiscount = 2.0
+
+	// reportedLoadCharge is the least difference between the deficits of an endpoint with a load report and
+	// of the picked endpoint, per request in the report, as a multiple of the picked endpoint's weight. The
+	// higher deficit makes the next load probes go to other endpoints.
+	reportedLoadCharge = 0.5
+
+	// maxDeficitLag is how far a deficit may be below that of the picked endpoint, as a multiple of the
+	// picked endpoint's weight, so that an endpoint gets no long burst of requests.
+	maxDeficitLag = 2.0
+
+	sharedLatencyFraction = 0.7 // assumed part of the smallest weight that the tiers below cause
+
+	// maxEndpointUsageMultiple times an even part of the concurrency limit is the largest number of attempts
+	// in flight that counts for one endpoint when pickBelowFairUsage adds them up. If the sum is below the
+	// limit, a few endpoints use up the limit.
 	maxEndpointUsageMultiple = 1.4
 
 	fullScanLimit       = 256 // largest subset scanned by each pick; larger ones are sampled
@@ -28,10 +42,10 @@
 	loadReportLifetime = 10 * time.Millisecond // time in which a load report is used; new requests outdate it
 )
 
-// activeSummary holds the number, the smallest weight and the lowest deficit of the active endpoints in the
-// subset.
+// activeSummary holds the number, the smallest weight and the lowest deficit (see endpoint.deficit) of the
+// active endpoints in the subset.
 type activeSummary struct {
-	count          int     // number of active endpoints that are available
+	count          int     // number of active endpoints that are neither draining nor manually ejected
 	smallestWeight float64 // smallest weight of an active endpoint; 1 without active endpoints
 	lowestDeficit  float64 // lowest deficit of an active endpoint; 0 without active endpoints
 }
@@ -50,51 +64,51 @@
 }
 
 // pick returns the endpoint whose trial has been due for longest, else the active endpoint with the lowest
-// sum of deficit and load. Without active endpoints it returns the endpoint with the next trial. It returns
-// nil if the request has to wait.
+// sum of its deficit and the charge for its load. Without active endpoints it returns the endpoint with the
+// next trial. It returns nil if the request has to wait.
 func (b *Balancer) pick(now time.Duration, req *request, candidates []*endpoint) *endpoint {
-	var dueTrial, lowestActive, nextTrial *endpoint
-	lowestDeficit, hasActive := math.Inf(1), false
+	var dueTrialEndpoint, lowestDeficitEndpoint, nextTrialEndpoint *endpoint
+	lowestChargedDeficit, hasActive := math.Inf(1), false
 	for _, ep := range candidates {
 		hasActive = hasActive || ep.active
 		switch {
 		case !b.canSend(now, req, ep):
 		case ep.active:
-			deficit := b.effectiveDeficit(ep) + inFlightCharge*ep.weight()*b.load(now, ep)
+			chargedDeficit := b.effectiveDeficit(ep) + inFlightCharge*ep.weight()*b.load(now, ep)
 			if req.wasSentTo(ep) { // a retry prefers another endpoint
-				deficit += maxSampleStretch
+				chargedDeficit += maxSampleStretch
 			}
-			if deficit < lowestDeficit {
-				lowestActive, lowestDeficit = ep, deficit
+			if chargedDeficit < lowestChargedDeficit {
+				lowestDeficitEndpoint, lowestChargedDeficit = ep, chargedDeficit
 			}
 		case !ep.trialInFlight:
-			if nextTrial == nil || ep.nextTrialAt < nextTrial.nextTrialAt {
-				nextTrial = ep
+			if nextTrialEndpoint == nil || ep.nextTrialAt < nextTrialEndpoint.nextTrialAt {
+				nextTrialEndpoint = ep
 			}
 			isDue := now >= ep.nextTrialAt && !req.wasSentTo(ep)
-			if isDue && (dueTrial == nil || ep.nextTrialAt < dueTrial.nextTrialAt) {
-				dueTrial = ep
+			if isDue && (dueTrialEndpoint == nil || ep.nextTrialAt < dueTrialEndpoint.nextTrialAt) {
+				dueTrialEndpoint = ep
 			}
 		}
 	}
 	switch {
-	case dueTrial != nil:
-		return dueTrial
+	case dueTrialEndpoint != nil:
+		return dueTrialEndpoint
 	case hasActive:
-		return lowestActive
+		return lowestDeficitEndpoint
 	}
-	return nextTrial
+	return nextTrialEndpoint
 }
 
 // pickBelowFairUsage picks an endpoint while the concurrency limit is reached. If a few endpoints use up the
 // limit, it picks among those with less than an even part of the limit in flight, so that an endpoint that
 // hangs does not leave the others idle. Otherwise it returns nil.
 func (b *Balancer) pickBelowFairUsage(now time.Duration, req *request) *endpoint {
-	evenPart, used := b.concurrencyLimit/float64(max(len(b.subset), 1)), 0.0
+	evenPart, countedAttempts := b.concurrencyLimit/float64(max(len(b.subset), 1)), 0.0
 	for _, ep := range b.subset {
-		used += min(float64(ep.inFlight), max(maxEndpointUsageMultiple*evenPart, 1))
+		countedAttempts += min(float64(ep.inFlight), max(maxEndpointUsageMultiple*evenPart, 1))
 	}
-	if used >= b.concurrencyLimit {
+	if countedAttempts >= b.concurrencyLimit {
 		return nil
 	}
 	return b.pick(now, req, slices.DeleteFunc(slices.Clone(b.subset), func(ep *endpoint) bool {
--- a/balance/pick_test.go
+++ b/balance/pick_test.go
@@ -79,14 +79,14 @@
 	}
 	h.balancer.EndpointList(h.now, l)
 	h.serve(60, latency)
-	slowCount := 0
+	slowEndpointRequests := 0
 	for ep, n := range h.serve(60, latency) {
 		if ep[0] == 's' {
-			slowCount += n
+			slowEndpointRequests += n
 		}
 	}
-	if slowCount > 20 {
-		t.Errorf("slow endpoints got %d of 60 requests after three samples each, want 20 at most", slowCount)
+	if slowEndpointRequests > 20 {
+		t.Errorf("slow endpoints got %d of 60 requests after three samples each, want 20 at most", slowEndpointRequests)
 	}
 }
 
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -55,7 +55,7 @@
 	h.serve(200, latency)
 	retriedCount := 0
 	for range 30 {
-		h.serve(11, latency) // the 11 requests add a retry to the budget, and change the order of the deficits
+		h.serve(11, latency) // the 11 requests add a retry to the budget, and change which endpoint has the lowest deficit
 		id, _ := h.request("read")
 		h.advance(10 * ms)
 		h.finish(id, balance.ErrorResponse)
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// slowStartLoadMultiple is the load of an endpoint that is warming up, as a multiple of an even part of the
-// requests times the fraction of its full capacity that it has. It is above 1 to get latency samples soon,
-// and low enough that all balancers together do not overload the endpoint.
+// slowStartLoadMultiple is the rate of requests to an endpoint that is warming up, divided by the rate in
+// proportion to its capacity (see capacityFraction). It is above 1 to get latency samples soon, and low
+// enough that all balancers together do not overload the endpoint.
 const slowStartLoadMultiple = 1.5
 
 // paceSlowStart updates the slow start after a rebuild of the subset. An endpoint that is warming up gets its
 // first request at a random instant within slowStartInterval: after a list update or a restart of balancers,
-// many subsets take the endpoint in at once, and their first requests alone would overload it. Waits in
-// progress are scaled with the length of a round (see roundDuration), which a restarted balancer estimates
-// from its first requests. Without an active endpoint no first request is delayed.
+// many subsets take the endpoint in at once, and their first requests alone would overload it. If an endpoint
+// must still wait for its next request, the rest of the wait is scaled with slowStartRoundSeconds, which a
+// restarted balancer estimates from its first requests. Without an active endpoint no first request is
+// delayed.
 func (b *Balancer) paceSlowStart(now time.Duration) {
 	roundSeconds := b.slowStartRoundSeconds(now)
 	for _, ep := range b.endpoints {
-		if wait := (ep.slowStartNextAt - now).Seconds(); wait > 0 && b.pacedRoundSeconds > 0 {
-			ep.slowStartNextAt = now + seconds(wait*roundSeconds/b.pacedRoundSeconds)
+		if wait := (ep.slowStartNextAt - now).Seconds(); wait > 0 && b.lastSlowStartRoundSeconds > 0 {
+			ep.slowStartNextAt = now + seconds(wait*roundSeconds/b.lastSlowStartRoundSeconds)
 		}
 	}
-	b.pacedRoundSeconds = roundSeconds
+	b.lastSlowStartRoundSeconds = roundSeconds
 	hasActive := b.summarizeActive().count > 0
 	for _, ep := range b.subset {
 		if hasActive && !ep.wasInSubset && b.capacityFraction(now, ep) < 1 {
--- a/balance/slowstart_fleet_test.go
+++ b/balance/slowstart_fleet_test.go
@@ -19,7 +19,7 @@
 	fleetSlowStart       = 24 * time.Second // time in which an endpoint reaches its full capacity
 	overloadMultiple     = 3.0              // load that overloads an endpoint, as a multiple of the endpoint's capacity
 	overloadWindow       = time.Second      // time over which the load of an endpoint is measured
-	warmUtilization      = 1.3              // even part of the requests, as a multiple of an endpoint's full capacity; above 1 due to clients' retries
+	warmUtilization      = 1.3              // evenly spread requests at each endpoint / its full capacity; above 1 due to clients' retries
 	fleetServiceTime     = 50 * ms          // latency of all attempts
 )
 
@@ -39,7 +39,7 @@
 	index        int              // index of the balancer in the fleet, from 0
 	incarnation  int              // number of times that the balancer has been started
 	requestCount int              // requests that the balancer has got
-	fractionDue  float64          // part of the interval between two requests that has passed since the last request was due
+	requestsDue  float64          // number of requests due and not sent, with a fraction for the next request
 	pending      []pendingOutcome // outcomes not yet reported to the balancer, in order of time
 	timers       []time.Duration  // instants of the timers that have not fired yet
 }
@@ -68,8 +68,8 @@
 func (member *fleetMember) Timer(at time.Duration)        { member.timers = append(member.timers, at) }
 func (member *fleetMember) Log(string)                    {}
 
-// newBalancerFleet starts balancers with endpoints at full capacity and runs them until they have estimated their request
-// rate.
+// newBalancerFleet starts balancers whose endpoints are all warm, and runs the balancers until they have estimated their request
+// rates.
 func newBalancerFleet(t *testing.T) *balancerFleet {
 	t.Helper()
 	fleet := &balancerFleet{t: t, now: 1000 * time.Second, listed: map[string]balance.Endpoint{},
@@ -79,7 +79,7 @@
 		fleet.listed[id] = balance.Endpoint{ID: id}
 	}
 	for i := range fleetBalancers {
-		member := &fleetMember{fleet: fleet, index: i, fractionDue: float64(i) / fleetBalancers}
+		member := &fleetMember{fleet: fleet, index: i, requestsDue: float64(i) / fleetBalancers}
 		fleet.members = append(fleet.members, member)
 		fleet.restart(member)
 	}
@@ -150,8 +150,8 @@
 	if isTimerDue {
 		member.balancer.Timer(now)
 	}
-	if member.fractionDue += fleetRequestRate * ms.Seconds(); member.fractionDue >= 1 {
-		member.fractionDue--
+	if member.requestsDue += fleetRequestRate * ms.Seconds(); member.requestsDue >= 1 {
+		member.requestsDue--
 		member.requestCount++
 		id := fmt.Sprint(member.incarnation, "-", member.requestCount)
 		member.balancer.Request(now, balance.Request{ID: id, Class: "read", Deadline: now + 5*time.Second})
@@ -159,9 +159,9 @@
 }
 
 // worstLoad returns the largest number of attempts within overloadWindow at an endpoint that is warming up, divided by the
-// number that overloads it, which is N + 2·√N + 2, where N is overloadMultiple times the capacity of the endpoint at the time.
-// It also returns the number of all attempts.
-func (fleet *balancerFleet) worstLoad() (worst float64, sends int) {
+// number allowed, which is N + 2·√N + 2. N is overloadMultiple times the capacity that the endpoint has at the time, and the rest
+// is a tolerance for random variation. worstLoad also returns the number of all attempts.
+func (fleet *balancerFleet) worstLoad() (worstRatio float64, sends int) {
 	for id, at := range fleet.sends {
 		sends += len(at)
 		windowStart := 0
@@ -169,14 +169,14 @@
 			for at[windowStart] <= end-overloadWindow {
 				windowStart++
 			}
-			progress := min(float64(end-fleet.listed[id].Started)/float64(fleetSlowStart), 1)
-			capacity := fleetInitialCapacity + (1-fleetInitialCapacity)*progress
+			warmUpProgress := min(float64(end-fleet.listed[id].Started)/float64(fleetSlowStart), 1)
+			capacity := fleetInitialCapacity + (1-fleetInitialCapacity)*warmUpProgress
 			evenRate := fleetBalancers * fleetRequestRate / fleetEndpoints
-			allowed := overloadMultiple * capacity * evenRate / warmUtilization * overloadWindow.Seconds()
-			worst = max(worst, float64(i-windowStart+1)/(allowed+2*math.Sqrt(allowed)+2))
+			overloadCount := overloadMultiple * capacity * evenRate / warmUtilization * overloadWindow.Seconds()
+			worstRatio = max(worstRatio, float64(i-windowStart+1)/(overloadCount+2*math.Sqrt(overloadCount)+2))
 		}
 	}
-	return worst, sends
+	return worstRatio, sends
 }
 
 // Many balancers that each send few requests must not overload an endpoint that is warming up, not even if an event makes
@@ -219,10 +219,10 @@
 		t.Run(row.name, func(t *testing.T) {
 			fleet := newBalancerFleet(t)
 			row.run(fleet)
-			worst, sends := fleet.worstLoad()
-			t.Logf("%d attempts at endpoints that are warming up; one got %.2f times the load that overloads it", sends, worst)
-			if worst > 1 {
-				t.Errorf("an endpoint that is warming up got %.2f times the load that overloads it, want 1 at most", worst)
+			worstRatio, sends := fleet.worstLoad()
+			t.Logf("%d attempts at endpoints that are warming up; one got %.2f times the load that overloads it", sends, worstRatio)
+			if worstRatio > 1 {
+				t.Errorf("an endpoint that is warming up got %.2f times the load that overloads it, want 1 at most", worstRatio)
 			}
 			if sends == 0 {
 				t.Error("endpoints that are warming up got no request, want at least 1")
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -44,7 +44,7 @@
 			}
 		}
 	}
-	evenRate := balancers * requestsPerSecond / 10 // requests per second at each of ten endpoints with full capacity
+	evenRate := balancers * requestsPerSecond / 10 // requests per second at each of ten endpoints if all were warm
 	for at := range 11 {                           // includes the end of the slow start, which is after 9 s (incident id93449)
 		capacity := min(0.3+0.7*float64(at+1)/9, 1)
 		if n := float64(requests[at]); n > evenRate*capacity*2+4 {
--- a/balance/streaming_test.go
+++ b/balance/streaming_test.go
@@ -138,27 +138,27 @@
 func TestStreamingTrialDoesNotBlockOtherTrials(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b")
 	h.learnBaseline("read")
-	for range 50 { // b stops responding and is ejected
+	for range 50 { // endpoint b does not respond and is ejected
 		id, ep := h.request("read")
 		if h.advance(10 * ms); ep == "a" {
 			h.finish(id, balance.OK)
 		}
 	}
-	var trials []string
-	for range 400 { // one of the uploads becomes a trial of b
+	var trialIDs []string
+	for range 400 { // one of the uploads becomes a trial of endpoint b
 		id := h.upload("read")
 		if h.sentTo[id][0] == "b" {
-			trials = append(trials, id)
+			trialIDs = append(trialIDs, id)
 			break
 		}
 		h.balancer.BodySent(h.now, id, 0, h.now+5*time.Second)
 		h.advance(10 * ms)
 		h.finish(id, balance.OK)
 	}
-	if len(trials) == 0 {
+	if len(trialIDs) == 0 {
 		t.Fatal("no upload became a trial of b")
 	}
-	for range 1000 { // the upload continues, and b responds again
+	for range 1000 { // the upload continues, and endpoint b responds again
 		id, ep := h.request("read")
 		h.advance(10 * ms)
 		h.finish(id, balance.OK)
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -11,15 +11,18 @@
 // that subsetRequestInterval, balancersPerEndpoint or minSubsetSize demands. Each endpoint is in many
 // subsets, so that one subset more or less matters little for the load of the endpoint.
 const (
-	subsetRequestInterval = time.Second // interval of requests at which an endpoint's weight stays current
-	balancersPerEndpoint  = 12.0        // least number of subsets that contain an endpoint
-	minSubsetSize         = 4.0         // least number of endpoints, so that a retry finds another endpoint
+	// subsetRequestInterval is the interval at which an endpoint must get requests from a balancer so
+	// that its weight there stays current.
+	subsetRequestInterval = time.Second
+
+	balancersPerEndpoint = 12.0 // least number of subsets that contain an endpoint
+	minSubsetSize        = 4.0  // least number of endpoints, so that a retry finds another endpoint
 
 	minRequestRate = 0.2 // requests per second that a balancer is assumed to have at least
 )
 
-// countRequest counts a request, and rebuilds the subset if the size that the request rate requires has
-// changed by half.
+// countRequest counts a request, and rebuilds the subset if the size that the request rate requires differs
+// by more than half from subsetSizeByRate.
 func (b *Balancer) countRequest(now time.Duration) {
 	b.requestCounter.add(now)
 	sizeByRate := b.requestRate(now) * subsetRequestInterval.Seconds()
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -32,14 +32,14 @@
 	h.balancer.SetBalancerCount(h.now, 60, 0) // has no effect: the index is 0 already
 	h.balancer.SetBalancerCount(h.now, 60, 30)
 	after := collectUsedEndpoints(h)
-	sameCount := 0
+	sharedEndpoints := 0
 	for ep := range after {
 		if before[ep] {
-			sameCount++
+			sharedEndpoints++
 		}
 	}
-	if sameCount == len(before) {
-		t.Errorf("with another index the balancer uses the same %d endpoints as before, want others", sameCount)
+	if sharedEndpoints == len(before) {
+		t.Errorf("with another index the balancer uses the same %d endpoints as before, want others", sharedEndpoints)
 	}
 	h.balancer.SetBalancerCount(h.now, 60, 0)
 	if listed, ejected := h.balancer.EndpointCounts(); listed != 100 || ejected != 0 {
@@ -48,14 +48,14 @@
 }
 
 // measureSubsets runs balancers with one request per second each. It returns the number of balancers that use an endpoint, by
-// its ID, and the smallest and largest number of endpoints that one balancer uses.
-func measureSubsets(t *testing.T, balancers, endpoints int) (users map[string]int, smallest, largest int) {
+// endpoint ID, and the smallest and largest number of endpoints that one balancer uses.
+func measureSubsets(t *testing.T, balancers, endpoints int) (balancersByEndpoint map[string]int, smallestSubset, largestSubset int) {
 	t.Helper()
 	names := []string{}
 	for i := range endpoints {
 		names = append(names, "e"+strconv.Itoa(i))
 	}
-	users, smallest = map[string]int{}, endpoints
+	balancersByEndpoint, smallestSubset = map[string]int{}, endpoints
 	for c := range balancers {
 		s := defaultSettings()
 		s.Balancers, s.Index = balancers, c
@@ -69,34 +69,34 @@
 			h.advance(950 * ms)
 		}
 		for ep := range used {
-			users[ep]++
+			balancersByEndpoint[ep]++
 		}
-		smallest, largest = min(smallest, len(used)), max(largest, len(used))
+		smallestSubset, largestSubset = min(smallestSubset, len(used)), max(largestSubset, len(used))
 	}
-	return users, smallest, largest
+	return balancersByEndpoint, smallestSubset, largestSubset
 }
 
 // Balancers with little traffic must use only a subset of the endpoints. When each of 420 balancers with two requests per
 // second used each of 80 endpoints every 40 s, no balancer detected a slow endpoint, and nearly every request opened a
 // connection (simulations of site tartu at full size).
 func TestManyLowTrafficBalancersUseSubsets(t *testing.T) {
-	users, smallest, largest := measureSubsets(t, 200, 60)
-	if smallest < 4 || largest > 12 {
-		t.Errorf("balancers use %d to %d of 60 endpoints, want 4 to 12", smallest, largest)
+	balancersByEndpoint, smallestSubset, largestSubset := measureSubsets(t, 200, 60)
+	if smallestSubset < 4 || largestSubset > 12 {
+		t.Errorf("balancers use %d to %d of 60 endpoints, want 4 to 12", smallestSubset, largestSubset)
 	}
-	fewest, most := 200, 0
-	for _, n := range users {
-		fewest, most = min(fewest, n), max(most, n)
+	minBalancers, maxBalancers := 200, 0
+	for _, n := range balancersByEndpoint {
+		minBalancers, maxBalancers = min(minBalancers, n), max(maxBalancers, n)
 	}
-	if len(users) < 60 || float64(most) > 1.3*float64(fewest) {
-		t.Errorf("%d endpoints are used, by %d to %d balancers, want 60, the most by 1.3 times the fewest", len(users), fewest, most)
+	if len(balancersByEndpoint) < 60 || float64(maxBalancers) > 1.3*float64(minBalancers) {
+		t.Errorf("%d endpoints are used, by %d to %d balancers, want 60, the most by 1.3 times the fewest", len(balancersByEndpoint), minBalancers, maxBalancers)
 	}
 }
 
 // If there are few balancers, each must use all endpoints: with subsets, one balancer more or less per endpoint would be an
 // imbalance.
 func TestFewBalancersUseAllEndpoints(t *testing.T) {
-	if users, smallest, _ := measureSubsets(t, 6, 12); len(users) != 12 || smallest != 12 {
-		t.Errorf("a balancer uses %d of 12 endpoints and all balancers together use %d, want 12", smallest, len(users))
+	if balancersByEndpoint, smallestSubset, _ := measureSubsets(t, 6, 12); len(balancersByEndpoint) != 12 || smallestSubset != 12 {
+		t.Errorf("a balancer uses %d of 12 endpoints and all balancers together use %d, want 12", smallestSubset, len(balancersByEndpoint))
 	}
 }
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -30,7 +30,7 @@
 // Reader decodes batches of events and calls a Handler. It is not safe for concurrent use.
 type Reader struct {
 	in         *bufio.Reader
-	longLine   []byte  // copy of the last line that was longer than the buffer of the field in
+	longLine   []byte  // copy of the last line longer than readBufferBytes
 	lineNumber int     // number of the last line read, from 1
 	message    message // parsed form of the last line read
 
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -19,20 +19,20 @@
 
 // recorder is a Handler that records the events for all instances.
 type recorder struct {
-	events  []recordedEvent
-	started map[int]balance.Settings // settings of the running instances, by instance number
-	batches int                      // number of complete batches
+	events          []recordedEvent
+	runningSettings map[int]balance.Settings // settings of the running instances, by instance number
+	batches         int                      // number of complete batches
 }
 
 func (r *recorder) record(now time.Duration, name string, args any) {
 	r.events = append(r.events, recordedEvent{now, name, args})
 }
 
-func (r *recorder) Start(i int, s balance.Settings) error { r.started[i] = s; return nil }
-func (r *recorder) Stop(i int) error                      { delete(r.started, i); return nil }
+func (r *recorder) Start(i int, s balance.Settings) error { r.runningSettings[i] = s; return nil }
+func (r *recorder) Stop(i int) error                      { delete(r.runningSettings, i); return nil }
 func (r *recorder) EndBatch() error                       { r.batches++; return nil }
 func (r *recorder) Instance(i int) (balance.Events, error) {
-	if _, ok := r.started[i]; !ok {
+	if _, ok := r.runningSettings[i]; !ok {
 		return nil, errors.New("never started")
 	}
 	return r, nil
@@ -59,7 +59,7 @@
 
 // read passes a text to a Reader and returns what its Handler recorded.
 func read(text string) (*recorder, error) {
-	r := &recorder{started: map[int]balance.Settings{}}
+	r := &recorder{runningSettings: map[int]balance.Settings{}}
 	return r, NewReader(strings.NewReader(text)).Run(r)
 }
 
@@ -96,8 +96,8 @@
 	if !reflect.DeepEqual(r.events, want) {
 		t.Errorf("got\n%+v\nwant\n%+v", r.events, want)
 	}
-	if r.batches != 2 || r.started[3].Seed != 9 {
-		t.Errorf("read %d batches and seed %d, want 2 and 9", r.batches, r.started[3].Seed)
+	if r.batches != 2 || r.runningSettings[3].Seed != 9 {
+		t.Errorf("read %d batches and seed %d, want 2 and 9", r.batches, r.runningSettings[3].Seed)
 	}
 }
 
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -10,7 +10,7 @@
 // it. The zero value is an empty reply. A Reply is not safe for concurrent use.
 type Reply struct {
 	encoded    []byte // encoded actions of the batch so far
-	hasActions bool   // whether the reply has any action
+	hasActions bool   // whether an action was written since the last call of Bytes
 	instance   int    // instance of the last action
 }
 
--- a/internal/simwire/reply_test.go
+++ b/internal/simwire/reply_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// The Reader's parser must accept the lines of a reply: parsed and joined again, they must be unchanged.
+// A reply names the instance before the first action of each group of one instance's actions. The Reader's parser must accept the
+// lines: parsed and joined again, they must be unchanged.
 func TestReplyEncodesActionsByInstance(t *testing.T) {
 	var r Reply
 	a, b := r.Host(3), r.Host(5)
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -18,7 +18,8 @@
 }
 
 // settings is the settings object in its JSON form, without the members that this package does not use and the decoder ignores.
-// Its fields have the names and types of the object's members and no tags, because encoding/json prints both in its errors.
+// Its fields have no tags, and have the names and types of the object's members, because the errors of encoding/json contain the
+// name and the type of a field.
 type settings struct {
 	NInstances int        // number of balancers in this balancer's tier
 	Me         int        // index of this balancer among the balancers of its tier, from 0
@@ -122,7 +123,7 @@
 		SubscribeWithin:   microseconds(w.Rules.AskWithinUs),
 		MaxAttempts:       w.Permissions.TryLimit,
 		CanCancel:         w.Permissions.MayCancel,
-		CanProbe:          w.Permissions.MayProbe && w.reportsLoad(),
+		CanProbe:          w.Permissions.MayProbe && w.hasUsableLoadReports(),
 		TimerResolution:   microseconds(w.ResolutionUs),
 		SlowStartCapacity: w.Rules.ColdFrom,
 		SlowStartDuration: microseconds(w.Rules.ColdUs),
@@ -133,8 +134,8 @@
 	return s
 }
 
-// reportsLoad reports whether endpoints send load reports with the value that the balancer uses.
-func (w *settings) reportsLoad() bool {
+// hasUsableLoadReports reports whether endpoints send load reports that contain "active", the value that the balancer uses.
+func (w *settings) hasUsableLoadReports() bool {
 	return w.Report.How != "silent" && slices.Contains(w.Report.Fields, "active")
 }
 
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -26,7 +26,7 @@
 		Tenants: []balance.Tenant{{Name: "t", Quota: 6.5}}, MustSubscribe: true, SubscribeWithin: 9 * us, MaxAttempts: 4,
 		CanCancel: true, CanProbe: true, MaxRetryAfter: 7 * us,
 		TimerResolution: 5 * time.Millisecond, SlowStartCapacity: 0.3, SlowStartDuration: 10 * us}
-	if got := r.started[0]; !reflect.DeepEqual(got, want) {
+	if got := r.runningSettings[0]; !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
 }
