--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -51,7 +51,7 @@
 
 	inFlight         int           // attempts that wait for a response, streaming bodies excluded
 	concurrencyLimit float64       // limit of inFlight, which retries may exceed
-	recentStretch    float64       // smoothed stretch (latency / baseline) of all responses
+	recentStretch    float64       // smoothed stretch (latency / baseline latency) of all responses
 	stretchUpdatedAt time.Duration // instant of the last response that updated recentStretch
 	nextReductionAt  time.Duration // instant before which the concurrency limit is not reduced again
 
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -8,7 +8,7 @@
 // Constants of the latency estimates: the baseline latency of each class, and the weights of endpoints and of
 // endpoint kinds (see Endpoint.Kind).
 const (
-	ewmaAlpha        = 0.95             // largest part of an old weight that is kept; α in Cicconetti et al.
+	ewmaAlpha        = 0.95             // largest fraction of old samples kept; α in Cicconetti et al.
 	ewmaTimeConstant = 10 * time.Second // longest time in which a sample's weight falls to 1/e
 	kindPriorSamples = 3.0              // kind.weight counts as much as so many of an endpoint's own samples
 	kindWeightGain   = 0.03             // least EWMA gain of kind.weight, per response
--- a/balance/slowstart_fleet_test.go
+++ b/balance/slowstart_fleet_test.go
@@ -39,7 +39,7 @@
 	index        int              // index of the balancer in the fleet, from 0
 	incarnation  int              // number of times that the balancer has been started
 	requestCount int              // requests that the balancer has got
-	requestsDue  float64          // number of requests due and not sent, with a fraction for the next request
+	requestsDue  float64          // requests due but not sent; a fraction is the part of the interval to the next request that has passed
 	pending      []pendingOutcome // outcomes not yet reported to the balancer, in order of time
 	timers       []time.Duration  // instants of the timers that have not fired yet
 }
