--- a/internal/eventloop/attempt.go
+++ b/internal/eventloop/attempt.go
@@ -14,10 +14,10 @@
 		IsWanted:    l.isWantedFunc(c),
 		RequestSent: func() { l.Post(func(now time.Duration) { l.handleBodySent(now, c, attempt) }) },
 		ResponseStarted: func(response upstream.Response) bool {
-			accepted := make(chan bool, 1)
-			l.Post(func(now time.Duration) { accepted <- l.handleStreamStarted(now, c, attempt, response) })
+			becomesReply := make(chan bool, 1)
+			l.Post(func(now time.Duration) { becomesReply <- l.handleStreamStarted(now, c, attempt, response) })
 			select {
-			case ok := <-accepted:
+			case ok := <-becomesReply:
 				return ok
 			case <-l.done:
 				return false
@@ -26,16 +26,16 @@
 	}
 }
 
-// isWantedFunc returns the hook IsWanted of an attempt, which reports whether the request should still be sent. The balancer decided
-// on the attempt before the connection was established. Since then the request may have got its reply, its client may have
-// disconnected, or, if an earlier attempt may have run, the time may have passed in which endpoints drop duplicates of its idempotency
-// key. The hook reads isFinished after it has asked the kernel about the client, since the loop may finish the request in between.
+// isWantedFunc returns the hook IsWanted of an attempt, which reports whether the request should still be sent now that the connection
+// is established. After the balancer decided on the attempt, the request may have got its reply, or its client may have disconnected.
+// A request with an idempotency key that an earlier attempt may have run must not be sent once endpoints no longer drop duplicates of
+// the key. The hook reads isFinished after it has asked the kernel about the client, since the loop may finish the request in between.
 func (l *Loop) isWantedFunc(c *Call) func() bool {
-	expiresAt := time.Duration(math.MaxInt64)
+	windowEndsAt := time.Duration(math.MaxInt64)
 	if window, hasKey := l.idempotencyWindows[c.Class]; hasKey && c.mayHaveRunAt > 0 {
-		expiresAt = c.mayHaveRunAt + window
+		windowEndsAt = c.mayHaveRunAt + window
 	}
-	return func() bool { return c.isClientConnected() && !c.isFinished.Load() && l.clock.now() < expiresAt }
+	return func() bool { return c.isClientConnected() && !c.isFinished.Load() && l.clock.now() < windowEndsAt }
 }
 
 // handleBodySent handles the event that an attempt has written the last byte of a streaming body.
@@ -70,7 +70,7 @@
 		}
 	}
 	if outcome.Result == balance.NotSent && !c.isClientConnected() && l.ClientDisconnected(now, c) {
-		c.Replies <- Reply{Verdict: ClientGone} // the receiver of Replies may not have noticed the disconnect yet
+		c.Replies <- Reply{Verdict: ClientGone} // the receiver of Replies may not have noticed the disconnect, and would wait for a reply
 	}
 	if c.mayHaveRunAt == 0 && outcome.Result.MayHaveRun() {
 		c.mayHaveRunAt = sentAt
--- a/internal/eventloop/host.go
+++ b/internal/eventloop/host.go
@@ -50,8 +50,8 @@
 // Reject implements balance.Host. The request's verdict is Shed, or Failed if the last attempt received an error response.
 func (h host) Reject(id string, retryAfter time.Duration) {
 	c := h.calls[id]
-	// The last attempt's error response tells the client more than the verdict Shed. It also makes no promise that a retry is harmless,
-	// which Shed would.
+	// If the last attempt received an error response, that response is forwarded. It tells the client more than the verdict Shed and,
+	// unlike Shed, does not promise that a retry is harmless.
 	if c != nil && c.lastResponse.Status != 0 {
 		h.Fail(id)
 		return
@@ -74,7 +74,7 @@
 	})
 }
 
-// HasIdleConnection implements balance.Host.
+// HasIdleConnection implements balance.Host. It asks the upstream, which owns the connections.
 func (h host) HasIdleConnection(endpoint string) bool { return h.upstream.HasIdleConnection(endpoint) }
 
 // Subscribe implements balance.Host. It makes discovery watch the endpoint list.
@@ -86,5 +86,5 @@
 	h.timers = slices.Insert(h.timers, i, at)
 }
 
-// Log implements balance.Host.
+// Log implements balance.Host. It writes the line to the daemon's log at level Info.
 func (h host) Log(line string) { h.log.Info(line) }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -56,7 +56,7 @@
 		result balance.Result, reused bool, response upstream.Response)
 	// SetEndpoint adds an endpoint or updates it. acceptsRequests means that new requests may be sent to it.
 	SetEndpoint(id, addr string, acceptsRequests bool)
-	// RemoveEndpoint removes an endpoint.
+	// RemoveEndpoint removes an endpoint and closes its idle connections. An ejected endpoint stays ejected.
 	RemoveEndpoint(id string)
 	// SetEjected ejects an endpoint by an operator's override, or restores it.
 	SetEjected(id string, isEjected bool)
--- a/internal/eventloop/order_test.go
+++ b/internal/eventloop/order_test.go
@@ -40,13 +40,13 @@
 type scriptedUpstream struct {
 	idempotency balance.Idempotency // idempotency of the request's class
 
-	mu             sync.Mutex
-	accepting      map[string]bool // whether an endpoint accepts new requests, by its id
-	attempts       []*scriptedAttempt
-	inFlight       int
-	violations     []string
-	replies        []Reply
-	disconnectedAt time.Time // when the client disconnected; zero: the client is connected
+	mu               sync.Mutex
+	accepting        map[string]bool // whether an endpoint accepts new requests, by its id
+	attempts         []*scriptedAttempt
+	attemptsInFlight int
+	violations       []string
+	replies          []Reply
+	disconnectedAt   time.Time // when the client disconnected; zero: the client is connected
 }
 
 func (u *scriptedUpstream) Attempt(
@@ -60,14 +60,14 @@
 		}
 	}
 	u.attempts = append(u.attempts, a)
-	if u.inFlight++; u.inFlight > 1 {
+	if u.attemptsInFlight++; u.attemptsInFlight > 1 {
 		u.violations = append(u.violations, "two attempts are in flight")
 	}
 	u.mu.Unlock()
 	result := u.exchange(ctx, a, hooks)
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.inFlight--
+	u.attemptsInFlight--
 	a.result, a.endedAt = result, time.Now()
 	response := upstream.Response{}
 	if result == balance.OK {
@@ -144,7 +144,7 @@
 	return u.attempts[len(u.attempts)-1]
 }
 
-// cellOf is the cell of each endpoint, by its id.
+// cellOf maps the id of each endpoint to the endpoint's cell.
 var cellOf = map[string]int{"a": 1, "b": 1, "c": 2}
 
 // The steps of a script: events that may happen to a request at any time. simulateRequest depends on the order of the steps from
@@ -257,7 +257,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	violations = u.violations
-	if u.inFlight > 0 {
+	if u.attemptsInFlight > 0 {
 		violations = append(violations, "an attempt is in flight after the loop has stopped")
 	}
 	if n := len(u.replies); n > 1 || n == 0 && u.disconnectedAt.IsZero() && !isLoopStopped {
@@ -297,7 +297,7 @@
 	{dialSucceeds, clientDisconnects, loopStops, endpointSucceeds},
 }
 
-func TestEventsThatRaceWithTheEndOfARequestKeepItsInvariants(t *testing.T) {
+func TestRacesWithTheEndOfARequestCauseNoViolation(t *testing.T) {
 	for _, idempotency := range []balance.Idempotency{balance.Idempotent, balance.IdempotencyKey, balance.NonIdempotent} {
 		for _, canCancel := range []bool{false, true} {
 			for _, script := range raceScripts {
--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -27,7 +27,7 @@
 		IsReady:        s.isReady.Load,
 		WriteMetrics:   s.writeMetrics,
 		WritePeers:     s.cluster.writePeers,
-		WriteVersions:  s.cluster.writeVersions,
+		WriteVersions:  s.cluster.writeSettingsStatus,
 		HandleSettings: s.cluster.handleSettings,
 		SetEjected:     s.setEjected,
 	}
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -45,8 +45,8 @@
 	return string(response)
 }
 
-// parseMetrics parses the response to the command vars and returns the metrics' values by name, without the prefix
-// edge_router.
+// parseMetrics parses the response to the command vars and returns the metrics' values by name. It removes the prefix
+// "edge_router." from the names.
 func parseMetrics(t *testing.T, text string) map[string]int64 {
 	t.Helper()
 	values := map[string]int64{}
@@ -66,8 +66,8 @@
 	return values
 }
 
-// respondByID returns an endpoint's handler that counts the attempts and responds as the first part of a request's ID
-// says.
+// respondByID returns an endpoint's handler that counts the attempts. The handler chooses its response by the request's
+// kind, such as "error" or "slow", which is the part of the request's ID before the first hyphen.
 func respondByID(attempts *atomic.Int64) func(net.Conn, *http.Request, int) bool {
 	return func(nc net.Conn, r *http.Request, _ int) bool {
 		attempts.Add(1)
@@ -90,9 +90,10 @@
 	}
 }
 
-// sendRequestOfKind sends a request of a kind that respondByID knows, an invalid one (kind "bad"), or one whose client
-// disconnects after 3 ms (kind "gone"). It returns the name of the metric that counts the outcome, or "gone CLASS" if the
-// client has disconnected before the response.
+// sendRequestOfKind sends a request of the given kind. A request of the kind "bad" has an invalid deadline, and the client
+// of one of the kind "gone" disconnects after 3 ms. To any other kind the endpoint responds as respondByID defines.
+// sendRequestOfKind returns the name of the metric that counts the outcome, or "gone CLASS" if the client has disconnected
+// before the response.
 func (s *platformSidecar) sendRequestOfKind(t *testing.T, client *http.Client, kind, class, id string) (string, error) {
 	t.Helper()
 	method := http.MethodPost
--- a/internal/sidecar/cluster.go
+++ b/internal/sidecar/cluster.go
@@ -24,12 +24,12 @@
 // Without that section the Sidecar has a nil clusterNode, which opens no socket and runs no goroutine; all methods that
 // the Sidecar calls accept nil.
 type clusterNode struct {
-	transport    *transport.Transport
-	log          *slog.Logger
-	spec         config.ClusterSpec // the cluster's configuration when this daemon was started
-	dividesPools bool               // whether pools are notified of how many daemons divide their endpoints
-	stop         func()             // stops the cluster's goroutines
-	goroutines   sync.WaitGroup
+	transport     *transport.Transport
+	log           *slog.Logger
+	spec          config.ClusterSpec // the cluster's configuration when this daemon was started
+	notifiesPools bool               // whether pools are notified of how many daemons share their endpoints
+	stop          func()             // stops the cluster's goroutines
+	goroutines    sync.WaitGroup
 
 	raft             *raftnode.Node              // consensus node; nil: the cluster does not agree on settings
 	ownFile          atomic.Pointer[config.File] // this daemon's own configuration file as last read
@@ -39,8 +39,8 @@
 	agreedEjections map[string]bool
 
 	mu sync.Mutex
-	// daemons is the number of daemons that divide the endpoints, 0 until it is known; index is this daemon's position
-	// among them.
+	// daemons is the number of daemons that share the endpoints, 0 until it is known; index is this daemon's position
+	// among these daemons, from 0.
 	daemons, index int
 	pools          map[*pool]bool // running pools, which are notified when daemons or index changes
 }
@@ -91,11 +91,11 @@
 	}
 	log.Info("cluster transport started", "cluster", c.Cluster.ClusterName, "addr", clusterTransport.Addr())
 	n := &clusterNode{
-		transport:    clusterTransport,
-		log:          log,
-		spec:         *c.Cluster,
-		dividesPools: c.Cluster.SharesByMembership,
-		pools:        map[*pool]bool{},
+		transport:     clusterTransport,
+		log:           log,
+		spec:          *c.Cluster,
+		notifiesPools: c.Cluster.SharesByMembership,
+		pools:         map[*pool]bool{},
 	}
 	n.ownFile.Store(c.File)
 	if c.Cluster.Consensus != nil {
@@ -133,8 +133,8 @@
 	return raftnode.Start(o)
 }
 
-// prepareReconfigure reads the cluster settings, among them the keys, that a reload may change. The returned function
-// commit applies them and can't fail; it logs changes that are ignored until a restart.
+// prepareReconfigure reads the cluster settings that a reload may change, among them the keys. The returned function
+// commit applies these settings and can't fail. It logs a warning if a setting has changed that needs a restart or a command.
 func (n *clusterNode) prepareReconfigure(spec *config.ClusterSpec) (commit func(), _ error) {
 	switch {
 	case n == nil && spec == nil:
@@ -161,7 +161,8 @@
 	}, nil
 }
 
-// watchMembers follows the cluster's membership and passes to the pools the number of daemons that divide the endpoints.
+// watchMembers follows the cluster's membership. It passes to the pools the number of daemons that share the endpoints,
+// and this daemon's index among these daemons.
 func (n *clusterNode) watchMembers(ctx context.Context) {
 	var tracker ordinal.Tracker
 	timer := time.NewTimer(0)
@@ -182,8 +183,8 @@
 	}
 }
 
-// setBalancerCount records how many daemons divide the endpoints and this daemon's index among them, and passes the two
-// numbers to all pools if either has changed.
+// setBalancerCount records how many daemons share the endpoints and this daemon's index among these daemons. It passes the
+// two numbers to all pools if either has changed.
 func (n *clusterNode) setBalancerCount(daemons, index int) {
 	n.mu.Lock()
 	isChanged := daemons != n.daemons || index != n.index
@@ -193,7 +194,7 @@
 		pools = append(pools, p)
 	}
 	n.mu.Unlock()
-	if !isChanged || !n.dividesPools {
+	if !isChanged || !n.notifiesPools {
 		return
 	}
 	n.log.Info("cluster size changed", "daemons", daemons, "index", index)
@@ -211,7 +212,7 @@
 	n.pools[p] = true
 	daemons, index := n.daemons, n.index
 	n.mu.Unlock()
-	if n.dividesPools && daemons > 0 {
+	if n.notifiesPools && daemons > 0 {
 		p.loop.Post(func(now time.Duration) { p.loop.SetBalancerCount(now, daemons, index) })
 	}
 }
--- a/internal/sidecar/cluster_test.go
+++ b/internal/sidecar/cluster_test.go
@@ -15,8 +15,8 @@
 	return string(b[:runtime.Stack(b, true)])
 }
 
-// clusterPackages is the common prefix of the import paths of the cluster's packages.
-const clusterPackages = "tuliprock/internal/cluster/"
+// clusterImportPrefix is the common prefix of the import paths of the cluster's packages.
+const clusterImportPrefix = "tuliprock/internal/cluster/"
 
 // On the platform sidecars can't reach one another, so a daemon on the platform's configuration must not open sockets
 // or start goroutines for a cluster. A daemon on an operators' file with the section [fleet] does, which shows that the
@@ -25,12 +25,12 @@
 func TestOnlyOperatorsFileStartsCluster(t *testing.T) {
 	a := startEchoEndpoint(t, "A")
 	platform := startPlatform(t, a)
-	if platform.cluster != nil || strings.Contains(allStacks(), clusterPackages) {
+	if platform.cluster != nil || strings.Contains(allStacks(), clusterImportPrefix) {
 		t.Error("a daemon on the platform's configuration is in a cluster")
 	}
 	file := "[fleet]\nlisten = \"127.0.0.1:0\"\nname = \"s\"\n" + listenerOne + poolSection("a", a) + lookRoute
 	s := startFromFile(t, parseService(t, file))
-	if !strings.Contains(allStacks(), clusterPackages+"transport") {
+	if !strings.Contains(allStacks(), clusterImportPrefix+"transport") {
 		t.Fatal("a file with the section [fleet] starts no cluster, so the test would not detect a cluster on the platform's configuration either")
 	}
 	join := "name = \"r\"\njoin = [\"" + s.cluster.transport.Addr().String() + "\"]"
--- a/internal/sidecar/coldstart_test.go
+++ b/internal/sidecar/coldstart_test.go
@@ -20,13 +20,13 @@
 
 // Parameters of the cold-start tests: how endpoints warm up, when an endpoint is overloaded, and the clients' load.
 const (
-	coldInitialFraction  = 0.14                   // fraction of its full capacity that a cold endpoint has at its start
-	coldWarmup           = 24 * time.Second       // time until a cold endpoint has its full capacity
-	coldOverloadMultiple = 3.0                    // multiple of its current capacity at which a cold endpoint is overloaded
-	coldOverloadWindow   = time.Second            // time over which an endpoint's requests are counted
-	coldResponseTime     = 200 * time.Millisecond // response time of each endpoint, which limits a client to 5 requests/s
-	coldRequests         = 10                     // number of requests that each client sends in one call of sendRequests
-	coldLoadFactor       = 1.6                    // ratio of the load to the endpoints' capacity
+	coldInitialFraction   = 0.14                   // fraction of its full capacity that a cold endpoint has at its start
+	coldWarmup            = 24 * time.Second       // time until a cold endpoint has its full capacity
+	coldOverloadMultiple  = 3.0                    // multiple of its current capacity at which a cold endpoint is overloaded
+	coldOverloadWindow    = time.Second            // time over which an endpoint's requests are counted
+	coldResponseTime      = 200 * time.Millisecond // response time of each endpoint, which limits a client to 5 requests/s
+	coldRequestsPerClient = 10                     // number of requests that each client sends in one call of sendRequests, except during drain steps
+	coldLoadFactor        = 1.6                    // ratio of the load to the endpoints' capacity
 )
 
 // coldStartSite has many sidecars in front of one tier on loopback, one discovery agent, and cold endpoints whose requests
@@ -160,15 +160,16 @@
 	return addrs
 }
 
-// sendRequests runs one client for each sidecar, which sends its requests one after another.
-func (s *coldStartSite) sendRequests(addrs []string, requests int) {
+// sendRequests runs one client for each sidecar, all clients at the same time. Each client sends its requests one after
+// another.
+func (s *coldStartSite) sendRequests(addrs []string, requestsPerClient int) {
 	s.t.Helper()
 	var clients sync.WaitGroup
 	for i, addr := range addrs {
 		clients.Go(func() {
 			client := http.Client{Timeout: testpeer.Timeout, Transport: &http.Transport{DialContext: (&net.Dialer{}).DialContext}}
 			defer client.CloseIdleConnections()
-			for n := range requests {
+			for n := range requestsPerClient {
 				r, err := http.NewRequest(http.MethodGet, "http://"+addr+"/look/x", nil)
 				if err != nil {
 					s.t.Error(err)
@@ -192,7 +193,8 @@
 }
 
 // checkColdEndpoints fails the test if a cold endpoint got more than N + 2 * sqrt(N) + 2 requests within
-// coldOverloadWindow. N is coldOverloadMultiple times the requests that a cold endpoint can serve within the window.
+// coldOverloadWindow. N is coldOverloadMultiple times the requests that a cold endpoint can serve within the window. The
+// other two terms are a tolerance for random variation.
 func (s *coldStartSite) checkColdEndpoints(endpoints int) {
 	s.t.Helper()
 	s.mu.Lock()
@@ -201,8 +203,8 @@
 	warmCapacity := float64(s.sidecars) / coldResponseTime.Seconds() / float64(endpoints) / coldLoadFactor
 	// The cold endpoint is taken to have the capacity that it has after a tenth of its warm-up. That is the most that it
 	// can have during the test, which ends earlier.
-	overload := coldOverloadMultiple * (coldInitialFraction + (1-coldInitialFraction)*0.1) * warmCapacity * coldOverloadWindow.Seconds()
-	limit := overload + 2*math.Sqrt(overload) + 2
+	overloadThreshold := coldOverloadMultiple * (coldInitialFraction + (1-coldInitialFraction)*0.1) * warmCapacity * coldOverloadWindow.Seconds()
+	limit := overloadThreshold + 2*math.Sqrt(overloadThreshold) + 2
 	maxRequests, windowStart := 0, 0
 	for _, arrivals := range s.arrivalTimes {
 		windowStart = 0
@@ -223,7 +225,7 @@
 func TestRestartedSidecarsDoNotOverloadAColdEndpoint(t *testing.T) {
 	s := newColdStartSite(t, 48, 5)
 	addrs := s.startSidecars(append(s.startColdEndpoints(1), s.warmEntries...))
-	s.sendRequests(addrs, coldRequests)
+	s.sendRequests(addrs, coldRequestsPerClient)
 	s.checkColdEndpoints(6)
 }
 
@@ -232,27 +234,27 @@
 func TestSidecarsNotifiedOfAColdEndpointDoNotOverloadIt(t *testing.T) {
 	s := newColdStartSite(t, 48, 5)
 	addrs := s.startSidecars(s.warmEntries)
-	s.sendRequests(addrs, coldRequests)
+	s.sendRequests(addrs, coldRequestsPerClient)
 	s.updateList(s.startColdEndpoints(1)...)
-	s.sendRequests(addrs, coldRequests)
+	s.sendRequests(addrs, coldRequestsPerClient)
 	s.checkColdEndpoints(6)
 }
 
 // Each time that endpoints begin to drain, a cold endpoint gets into the subsets of more sidecars. The first requests of
 // these sidecars must not overload it.
 func TestChangesOfTheListDoNotOverloadAColdEndpoint(t *testing.T) {
-	const warm, steps, drainedPerStep = 40, 6, 4
-	s := newColdStartSite(t, 48, warm)
+	const warmEndpoints, steps, drainedPerStep = 40, 6, 4
+	s := newColdStartSite(t, 48, warmEndpoints)
 	addrs := s.startSidecars(s.warmEntries)
-	s.sendRequests(addrs, coldRequests)
+	s.sendRequests(addrs, coldRequestsPerClient)
 	s.updateList(s.startColdEndpoints(4)...)
 	for step := range steps {
 		var drained []string
 		for i := range drainedPerStep {
-			drained = append(drained, strings.Replace(s.warmEntries[(7*(step*drainedPerStep+i))%warm], `"Ready"`, `"Terminating"`, 1))
+			drained = append(drained, strings.Replace(s.warmEntries[(7*(step*drainedPerStep+i))%warmEndpoints], `"Ready"`, `"Terminating"`, 1))
 		}
 		s.updateList(drained...)
 		s.sendRequests(addrs, 2)
 	}
-	s.checkColdEndpoints(warm)
+	s.checkColdEndpoints(warmEndpoints)
 }
--- a/internal/sidecar/connections_test.go
+++ b/internal/sidecar/connections_test.go
@@ -69,24 +69,24 @@
 	}
 }
 
-// Endpoints close idle connections, here as soon as another connection is used. Connections must still be reused, so that
-// not every request needs a new one.
+// Endpoints may close idle connections early. The endpoints of this test close a connection as soon as another one is
+// used. Connections must still be reused while they are open, so that not every request needs a new one.
 func TestShortLivedConnectionsAreReusedWhileOpen(t *testing.T) {
 	var mu sync.Mutex
-	idle := map[net.Conn]bool{}
+	idleConnections := map[net.Conn]bool{}
 	var endpoints []*testpeer.Endpoint
 	var addrs []string
 	for range 4 {
 		e := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 			mu.Lock()
 			defer mu.Unlock()
-			for other := range idle {
+			for other := range idleConnections {
 				if other != nc {
 					other.Close()
-					delete(idle, other)
+					delete(idleConnections, other)
 				}
 			}
-			idle[nc] = true
+			idleConnections[nc] = true
 			time.Sleep(4 * time.Millisecond) // makes all requests take about the same time
 			io.WriteString(nc, testpeer.ResponseOK)
 			return true
--- a/internal/sidecar/fault_matrix_client_test.go
+++ b/internal/sidecar/fault_matrix_client_test.go
@@ -56,11 +56,11 @@
 		return c.receive(nc)
 	}
 	if c.fails("caller") {
-		send(requestBody[:c.offset()])
+		send(requestBody[:c.faultOffset()])
 		if isChunked && c.moment == "after" {
 			io.WriteString(nc, "0\r\n\r\n")
 		}
-		remaining := requestBody[c.offset():]
+		remaining := requestBody[c.faultOffset():]
 		return c.injectClientFault(nc, func() {
 			if len(remaining) > 0 {
 				send(remaining[:1])
@@ -71,20 +71,20 @@
 	// If the endpoint fails early, send the rest of the body only after the fault: otherwise kernel buffers would take
 	// the complete body before the fault.
 	go func() {
-		first := len(requestBody)
+		bytesBeforeFault := len(requestBody)
 		if c.moment == "head" || c.moment == "first byte" {
-			first = body.PrefixSize
+			bytesBeforeFault = body.PrefixSize
 		}
-		send(requestBody[:first])
-		afterFault := c.retried
+		send(requestBody[:bytesBeforeFault])
+		faultOccurred := c.retried
 		if c.fault == "silence" || c.fault == "slow" {
-			afterFault = c.nodeFailed
+			faultOccurred = c.nodeFailed
 		}
 		select {
-		case <-afterFault:
+		case <-faultOccurred:
 		case <-c.clientEnded:
 		}
-		send(requestBody[first:])
+		send(requestBody[bytesBeforeFault:])
 	}()
 	return classifyResponse(bufio.NewReader(nc), []byte("done"), nil)
 }
@@ -127,21 +127,21 @@
 	if !c.fails("caller") {
 		return classifyResponse(in, longBody(c.size), nil)
 	}
-	return classifyResponse(in, longBody(c.size), func(responseBody io.Reader) (received int, isClosed bool, _ error) {
-		received, err := readExpected(io.LimitReader(responseBody, int64(c.offset())), longBody(c.offset()))
-		if err == nil && received < c.offset() {
+	return classifyResponse(in, longBody(c.size), func(responseBody io.Reader) (receivedBytes int, isClosedByClient bool, _ error) {
+		receivedBytes, err := readExpected(io.LimitReader(responseBody, int64(c.faultOffset())), longBody(c.faultOffset()))
+		if err == nil && receivedBytes < c.faultOffset() {
 			err = io.ErrUnexpectedEOF
 		}
 		if err != nil {
-			return received, false, err
+			return receivedBytes, false, err
 		}
 		switch c.fault {
 		case "close":
 			nc.Close()
-			return received, true, nil
+			return receivedBytes, true, nil
 		case "reset":
 			reset(nc)
-			return received, true, nil
+			return receivedBytes, true, nil
 		case "garbage":
 			io.WriteString(nc, "\x00zz nonsense\r\n\r\n")
 		case "silence":
@@ -152,21 +152,21 @@
 			for b := make([]byte, 1); ; {
 				select {
 				case <-c.exchangeEnded:
-					return received, false, nil
+					return receivedBytes, false, nil
 				case <-time.After(100 * time.Millisecond):
 				}
 				n, err := responseBody.Read(b)
-				if n > 0 && b[0] != longBody(received + 1)[received] {
-					return received, false, errUnexpectedBody
+				if n > 0 && b[0] != longBody(receivedBytes + 1)[receivedBytes] {
+					return receivedBytes, false, errUnexpectedBody
 				}
-				if received += n; err == io.EOF {
-					return received, false, nil
+				if receivedBytes += n; err == io.EOF {
+					return receivedBytes, false, nil
 				} else if err != nil {
-					return received, false, err
+					return receivedBytes, false, err
 				}
 			}
 		}
-		return received, false, nil
+		return receivedBytes, false, nil
 	})
 }
 
@@ -207,17 +207,17 @@
 		return "no answer"
 	}
 	defer resp.Body.Close()
-	received := 0
+	receivedBytes := 0
 	if readFirst != nil && resp.StatusCode == http.StatusOK {
-		var isClosed bool
-		if received, isClosed, err = readFirst(resp.Body); isClosed {
+		var isClosedByClient bool
+		if receivedBytes, isClosedByClient, err = readFirst(resp.Body); isClosedByClient {
 			return "gone"
 		}
 	}
 	if err == nil && resp.StatusCode == http.StatusOK {
 		var n int
-		n, err = readExpected(resp.Body, want[received:])
-		received += n
+		n, err = readExpected(resp.Body, want[receivedBytes:])
+		receivedBytes += n
 	}
 	switch {
 	case resp.StatusCode == http.StatusBadGateway:
@@ -228,7 +228,7 @@
 		return strconv.Itoa(resp.StatusCode)
 	case err != nil && !errors.Is(err, errUnexpectedBody):
 		return "cut"
-	case err == nil && received == len(want):
+	case err == nil && receivedBytes == len(want):
 		return "served"
 	}
 	return "wrong"
--- a/internal/sidecar/fault_matrix_node_test.go
+++ b/internal/sidecar/fault_matrix_node_test.go
@@ -55,7 +55,7 @@
 func (n *matrixEndpoint) serveAttempt(c *matrixCell, nc net.Conn, r *http.Request) bool {
 	c.mu.Lock()
 	c.attempts++
-	isFirst := c.attempts == 1
+	isFirstAttempt := c.attempts == 1
 	if c.attempts == 2 {
 		close(c.retried)
 	}
@@ -68,9 +68,9 @@
 		c.mu.Unlock()
 		c.endOnce.Do(func() { close(c.exchangeEnded) })
 	}()
-	fails := isFirst && c.fails("node")
+	fails := isFirstAttempt && c.fails("node")
 	if fails && c.direction == "up" && c.moment != "after" {
-		if _, err := io.CopyN(io.Discard, r.Body, int64(c.offset())); err != nil {
+		if _, err := io.CopyN(io.Discard, r.Body, int64(c.faultOffset())); err != nil {
 			return false
 		}
 		return n.injectFault(c, nc, func() { _, _ = r.Body.Read(make([]byte, 1)) })
@@ -94,23 +94,23 @@
 		_, err := (&net.Buffers{[]byte(head), responseBody}).WriteTo(nc)
 		return err == nil
 	}
-	remaining := []byte(head) // bytes that a slow endpoint still sends
+	remaining := []byte(head) // bytes that a slow endpoint has yet to send
 	switch {
-	case c.direction == "up": // the endpoint has the complete request, and has sent nothing yet
+	case c.direction == "up": // the fault comes after the complete request, before any byte of the response
 	case c.moment == "head":
 		if c.fault != "garbage" {
 			io.WriteString(nc, head[:20])
 			remaining = remaining[20:]
 		}
 	case isChunked:
-		part := responseBody[:c.offset()]
+		part := responseBody[:c.faultOffset()]
 		_, _ = fmt.Fprintf(nc, "%s%x\r\n%s\r\n", head, len(part), part)
 		if c.moment == "after" {
 			io.WriteString(nc, "0\r\n\r\n")
 		}
 	default:
-		_, _ = (&net.Buffers{[]byte(head), responseBody[:c.offset()]}).WriteTo(nc)
-		remaining = responseBody[c.offset():]
+		_, _ = (&net.Buffers{[]byte(head), responseBody[:c.faultOffset()]}).WriteTo(nc)
+		remaining = responseBody[c.faultOffset():]
 	}
 	if c.direction == "down" && c.moment == "after" { // a reset now would discard bytes that the client has not received yet
 		select {
--- a/internal/sidecar/fault_matrix_test.go
+++ b/internal/sidecar/fault_matrix_test.go
@@ -23,11 +23,13 @@
 // outcomes that the table in docs/operators/long-bodies.md promises, and run at most as often as the table says. The test
 // reads that table; the values are those that the table uses.
 var (
-	matrixDirections   = []string{"up", "down"}                                         // direction of the long body
-	matrixFailingSides = []string{"caller", "node", "both"}                             // side that fails: the client, the endpoint, or both
-	matrixMoments      = []string{"head", "first byte", "middle", "last byte", "after"} // part of the message sent last before the fault
-	matrixFaults       = []string{"close", "reset", "silence", "garbage", "slow"}       // what the failing side does
-	matrixClasses      = []string{"safe", "keyed", "unsafe"}                            // classes of requests: idempotent, with an idempotency key, not idempotent
+	matrixDirections   = []string{"up", "down"}             // direction of the long body
+	matrixFailingSides = []string{"caller", "node", "both"} // side that fails: the client, the endpoint, or both
+	// matrixMoments are the places in a message at which the fault occurs: in the message's head, after the first byte of the
+	// long body, in the middle of that body, before its last byte, or after the body.
+	matrixMoments = []string{"head", "first byte", "middle", "last byte", "after"}
+	matrixFaults  = []string{"close", "reset", "silence", "garbage", "slow"} // what the failing side does
+	matrixClasses = []string{"safe", "keyed", "unsafe"}                      // classes of requests: idempotent, with an idempotency key, not idempotent
 )
 
 // matrixCell is one cell of the fault matrix: one request with its fault, and what the endpoints observed of it.
@@ -65,9 +67,9 @@
 		clientEnded:   make(chan struct{}),
 		retried:       make(chan struct{}),
 	}
-	isUnread := fault == "silence" || fault == "slow"
-	nodeStopsEarly := direction == "up" && c.fails("node") && (moment == "middle" || c.offset() < 2 && isUnread)
-	clientStopsReading := direction == "down" && c.fails("caller") && isUnread
+	stopsReading := fault == "silence" || fault == "slow"
+	nodeStopsEarly := direction == "up" && c.fails("node") && (moment == "middle" || c.faultOffset() < 2 && stopsReading)
+	clientStopsReading := direction == "down" && c.fails("caller") && stopsReading
 	if nodeStopsEarly || clientStopsReading { // the body must be larger than all kernel buffers on its way
 		c.size = 48 << 20
 	}
@@ -95,8 +97,8 @@
 // fails reports whether a side, "caller" (the client) or "node" (the endpoint), fails in this cell.
 func (c *matrixCell) fails(side string) bool { return c.failingSide == side || c.failingSide == "both" }
 
-// offset returns how many bytes of the long body have been sent when the fault occurs.
-func (c *matrixCell) offset() int {
+// faultOffset returns how many bytes of the long body have been sent when the fault occurs.
+func (c *matrixCell) faultOffset() int {
 	return map[string]int{"head": 0, "first byte": 1, "middle": 1 << 20, "last byte": c.size - 1, "after": c.size}[c.moment]
 }
 
@@ -118,13 +120,13 @@
 
 // expectation is one row of the table in docs/operators/long-bodies.md, which promises an outcome for some cells.
 type expectation struct {
-	// pattern selects cells by direction, failing side, moment, fault and class. Each element is "*", which matches all
+	// cellPattern selects cells by direction, failing side, moment, fault and class. Each element is "*", which matches all
 	// values, or a list of values separated by commas.
-	pattern    [5]string
-	outcomes   []string     // outcomes that the client may get, as classifyResponse names them
-	maxRuns    int          // how often the request may run at an endpoint
-	row        int          // number of this row in the table of long-bodies.md, for failure messages
-	matchCount atomic.Int32 // number of matrix cells to which this row applied
+	cellPattern [5]string
+	outcomes    []string     // outcomes that the client may get, as classifyResponse names them
+	maxRuns     int          // how often the request may run at an endpoint
+	row         int          // number of this row in the table of long-bodies.md, for failure messages
+	matchCount  atomic.Int32 // number of matrix cells to which this row applied
 }
 
 // readExpectations reads the table in docs/operators/long-bodies.md.
@@ -150,7 +152,7 @@
 		for k := range cols {
 			cols[k] = strings.TrimSpace(cols[k])
 		}
-		copy(e.pattern[:], cols)
+		copy(e.cellPattern[:], cols)
 		for outcome := range strings.SplitSeq(cols[5], ",") {
 			e.outcomes = append(e.outcomes, strings.TrimSpace(outcome))
 		}
@@ -162,10 +164,10 @@
 	return rows
 }
 
-// appliesTo reports whether the row's pattern matches a cell.
+// appliesTo reports whether the row's cellPattern matches a cell.
 func (e *expectation) appliesTo(c *matrixCell) bool {
 	for i, value := range []string{c.direction, c.failingSide, c.moment, c.fault, c.class} {
-		if e.pattern[i] != "*" && !listContains(e.pattern[i], value) {
+		if e.cellPattern[i] != "*" && !listContains(e.cellPattern[i], value) {
 			return false
 		}
 	}
@@ -318,7 +320,7 @@
 
 // The fault matrix's own checks must detect each kind of violation, and classify each kind of response.
 func TestFaultMatrixDetectsViolations(t *testing.T) {
-	rows := []*expectation{{pattern: [5]string{"up", "caller, both", "*", "close", "unsafe"}, outcomes: []string{"gone"}, maxRuns: 1}}
+	rows := []*expectation{{cellPattern: [5]string{"up", "caller, both", "*", "close", "unsafe"}, outcomes: []string{"gone"}, maxRuns: 1}}
 	cellWith := func(change func(*matrixCell)) *matrixCell {
 		c := &matrixCell{direction: "up", failingSide: "both", moment: "head", fault: "close", class: "unsafe", runs: 1, maxConnections: 1}
 		change(c)
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -178,11 +178,11 @@
 	s.pool.updateEndpoints(list)
 }
 
-// startDiscovery starts a fake discovery agent that responds to each call with the next element of steps, and sends
+// startDiscovery starts a fake discovery agent that responds to each call with the next element of responses, and sends
 // each call to the channel calls.
-func startDiscovery(t *testing.T, steps ...string) (addr string, calls chan string) {
+func startDiscovery(t *testing.T, responses ...string) (addr string, calls chan string) {
 	t.Helper()
-	agent := &testpeer.ScriptedAgent{Responses: steps, Queries: make(chan string, 100)}
+	agent := &testpeer.ScriptedAgent{Responses: responses, Queries: make(chan string, 100)}
 	server := httptest.NewServer(agent)
 	t.Cleanup(func() {
 		server.CloseClientConnections() // a watch may still be open
--- a/internal/sidecar/hotrestart.go
+++ b/internal/sidecar/hotrestart.go
@@ -132,9 +132,9 @@
 	r.sidecar.setConnectionLimit(r.config.ConnectionsWithin(limit))
 }
 
-// beginShutdown reports whether another process takes clients now, and fixes this process's lifecycle phase. If this
-// process was the one that took clients, it withdraws its readiness, so that older processes that still run may take
-// clients again.
+// beginShutdown reports whether another process takes clients now. From then on poll no longer changes this process's
+// lifecycle phase. If this process was the one that took clients, it withdraws its readiness, so that older processes that
+// still run may take clients again.
 func (r *hotRestart) beginShutdown() successor {
 	if r == nil {
 		return noSuccessor
--- a/internal/sidecar/isolation_test.go
+++ b/internal/sidecar/isolation_test.go
@@ -107,7 +107,7 @@
 	for _, hasSeparateListeners := range []bool{false, true} {
 		healthyAddr, hungAddr := startWithHungPool(t, hasSeparateListeners)
 		stop := make(chan bool)
-		load := startLoad(hungAddr, 16, stop) // 64 clients would take all cores of a busy machine
+		load := startLoad(hungAddr, 16, stop) // few enough to leave cores for the measurement: 64 clients take all cores of a busy machine
 		// The limit allows for busy machines, and is below the 1 s after which requests to the hung pool reach their
 		// deadline: a request that waited for one of them would exceed the limit.
 		if p99 := measureP99(t, healthyAddr, 4, 20*time.Millisecond, 2*time.Second); p99 > 700*time.Millisecond {
@@ -129,7 +129,7 @@
 	}
 	healthyAddr, hungAddr := startWithHungPool(t, os.Getenv("TULIPROCK_TEST_SEPARATE_LISTENERS") != "")
 	clients, _ := strconv.Atoi(os.Getenv("TULIPROCK_TEST_LOAD_CLIENTS"))
-	var unloaded, loaded, ratios []float64
+	var unloadedP99s, loadedP99s, ratios []float64
 	for i := range pairs {
 		measure := func(withLoad bool) float64 {
 			stop := make(chan bool)
@@ -144,16 +144,16 @@
 			load.Wait()
 			return float64(p99.Microseconds())
 		}
-		var without, with float64
+		var p99Without, p99With float64
 		if i%2 == 0 {
-			without, with = measure(false), measure(true)
+			p99Without, p99With = measure(false), measure(true)
 		} else {
-			with, without = measure(true), measure(false)
+			p99With, p99Without = measure(true), measure(false)
 		}
-		unloaded, loaded, ratios = append(unloaded, without), append(loaded, with), append(ratios, with/without)
+		unloadedP99s, loadedP99s, ratios = append(unloadedP99s, p99Without), append(loadedP99s, p99With), append(ratios, p99With/p99Without)
 	}
 	t.Logf("p99 from when requests were due, µs: without load %v, with load %v, ratio %v",
-		formatSpread(unloaded), formatSpread(loaded), formatSpread(ratios))
+		formatSpread(unloadedP99s), formatSpread(loadedP99s), formatSpread(ratios))
 }
 
 // formatSpread returns the median, minimum and maximum of values as text.
--- a/internal/sidecar/overrides.go
+++ b/internal/sidecar/overrides.go
@@ -100,9 +100,9 @@
 
 // ejectionState is a snapshot of the overrides with regard to one endpoint.
 type ejectionState struct {
-	pools     []*pool // pools that were running at the time of the snapshot
-	isEjected bool    // whether the endpoint is manually ejected
-	count     int     // number of all manually ejected endpoints
+	pools        []*pool // pools that were running at the time of the snapshot
+	isEjected    bool    // whether the endpoint is manually ejected
+	ejectedCount int     // number of all manually ejected endpoints
 }
 
 // snapshot returns a snapshot of the overrides with regard to the endpoint with the given ID.
@@ -159,21 +159,21 @@
 	if o.directory != nil {
 		o.applyDirectory(hotrestart.KeepReportedDescriptors)
 	}
-	before := o.snapshot(id)
-	isKnown := before.isEjected
-	err := doOnPools(ctx, before.pools, func(l *eventloop.Loop, _ time.Duration) { isKnown = isKnown || l.IsKnown(id) })
+	stateBefore := o.snapshot(id)
+	isKnown := stateBefore.isEjected
+	err := doOnPools(ctx, stateBefore.pools, func(l *eventloop.Loop, _ time.Duration) { isKnown = isKnown || l.IsKnown(id) })
 	switch {
 	case err != nil:
 		return "", errUnconfirmed
 	case !isKnown:
 		return "", fmt.Errorf("%.260q: %w", id, errUnknownEndpoint)
-	case isEjected && !before.isEjected && before.count >= hotrestart.MaxEjections:
-		return "", fmt.Errorf("%d endpoints are out already: no more can be", before.count)
+	case isEjected && !stateBefore.isEjected && stateBefore.ejectedCount >= hotrestart.MaxEjections:
+		return "", fmt.Errorf("%d endpoints are out already: no more can be", stateBefore.ejectedCount)
 	}
-	if err := o.apply(ctx, before.pools, id, isEjected); err != nil {
+	if err := o.apply(ctx, stateBefore.pools, id, isEjected); err != nil {
 		return "", errUnconfirmed
 	}
-	outcome := describeOutcome(id, before.isEjected, isEjected)
+	outcome := describeOutcome(id, stateBefore.isEjected, isEjected)
 	// The record is written even if nothing has changed in this process: the shared directory may lack it.
 	if o.directory != nil {
 		if err := o.directory.RecordEjection(id, isEjected, time.Now()); err != nil {
@@ -198,8 +198,8 @@
 }
 
 // applyAgreed applies a change of the ejections that the cluster has agreed on: it ejects the endpoints that are only in
-// current, and restores those that are only in previous. It returns the set that is applied now, which is previous if ctx
-// ended before the command slot was free.
+// current, and restores those that are only in previous. It waits while another change of the ejections is in progress. It
+// returns the set that is applied now, which is previous if ctx ended during that wait.
 func (o *overrides) applyAgreed(ctx context.Context, previous, current map[string]bool) map[string]bool {
 	if o.acquire(ctx) != nil {
 		return previous
@@ -209,7 +209,7 @@
 		for id := range ids {
 			local := o.snapshot(id)
 			isUnchanged := previous[id] == current[id] || local.isEjected == current[id]
-			if isUnchanged || current[id] && local.count >= hotrestart.MaxEjections {
+			if isUnchanged || current[id] && local.ejectedCount >= hotrestart.MaxEjections {
 				continue
 			}
 			_ = o.apply(ctx, local.pools, id, current[id]) // fails only if ctx has ended, when the daemon shuts down
--- a/internal/sidecar/overrides_test.go
+++ b/internal/sidecar/overrides_test.go
@@ -38,12 +38,12 @@
 			t.Errorf("%s: response %q, want %q", row.command, got, row.want)
 		}
 	}
-	beforeEjection := a.Requests.Load()
+	requestsBeforeEjection := a.Requests.Load()
 	for range 30 {
 		sendExpecting(http.StatusOK)
 	}
-	if a.Requests.Load() != beforeEjection {
-		t.Errorf("%d requests reached the ejected endpoint, want none", a.Requests.Load()-beforeEjection)
+	if a.Requests.Load() != requestsBeforeEjection {
+		t.Errorf("%d requests reached the ejected endpoint, want none", a.Requests.Load()-requestsBeforeEjection)
 	}
 	if got := parseMetrics(t, s.adminCommand(t, "vars")); got["pool_size"] != 2 || got["pool_ejected"] != 1 {
 		t.Errorf("pool_size %d, pool_ejected %d, want 2 and 1", got["pool_size"], got["pool_ejected"])
@@ -52,7 +52,7 @@
 	sendExpecting(http.StatusServiceUnavailable)
 	s.adminCommand(t, "set-up a")
 	restoredAt := time.Now()
-	for a.Requests.Load() == beforeEjection {
+	for a.Requests.Load() == requestsBeforeEjection {
 		sendExpecting(http.StatusOK)
 	}
 	if delay := time.Since(restoredAt); delay > 5*time.Second {
--- a/internal/sidecar/platform_test.go
+++ b/internal/sidecar/platform_test.go
@@ -34,7 +34,7 @@
 	t.Cleanup(e.Close)
 	s := startPlatform(t, e.Listener.Addr().String())
 	const fields = " HTTP/1.1\r\nHost: h\r\nReq-Deadline-Ms: 8000\r\n"
-	big := strings.Repeat("0123456789abcdef", 10<<10)
+	longText := strings.Repeat("0123456789abcdef", 10<<10)
 	for i, row := range []struct {
 		name, text, uri, body string
 		sentBytewise          bool // the client writes the request one byte at a time
@@ -46,8 +46,8 @@
 		{"extensions and trailers", "POST /pay" + fields + "Req-Id: %d\r\nTransfer-Encoding: chunked\r\n\r\n2;a=b;c=\"d\"\r\nhi\r\n0;e\r\nX-Sum: 1\r\n\r\n", "/pay", "hi", false},
 		{"absolute form", "GET http://h/look/1?a=%%41" + fields + "Req-Id: %d\r\n\r\n", "/look/1?a=%41", "", false},
 		{"absolute form with an upper-case scheme", "GET HTTP://h/look?x" + fields + "Req-Id: %d\r\n\r\n", "/look?x", "", false},
-		{"a long body", "POST /pay" + fields + fmt.Sprintf("Req-Id: %%d\r\nContent-Length: %d\r\n\r\n", len(big)) + big, "/pay", big, false},
-		{"a long body in a chunk", "POST /pay" + fields + fmt.Sprintf("Req-Id: %%d\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", len(big)) + big + "\r\n0\r\n\r\n", "/pay", big, false},
+		{"a long body", "POST /pay" + fields + fmt.Sprintf("Req-Id: %%d\r\nContent-Length: %d\r\n\r\n", len(longText)) + longText, "/pay", longText, false},
+		{"a long body in a chunk", "POST /pay" + fields + fmt.Sprintf("Req-Id: %%d\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", len(longText)) + longText + "\r\n0\r\n\r\n", "/pay", longText, false},
 	} {
 		nc, err := net.Dial("tcp", s.addr)
 		if err != nil {
@@ -107,7 +107,7 @@
 // The end of the connection may delimit a response without a length (RFC 9112, 6.3), but only if the response says
 // Connection: close: otherwise the response could have been truncated.
 func TestResponseEndsAtConnectionCloseOnlyIfAnnounced(t *testing.T) {
-	big := strings.Repeat("z", 200<<10)
+	longText := strings.Repeat("z", 200<<10)
 	for name, row := range map[string]struct {
 		text   string
 		status int
@@ -116,7 +116,7 @@
 		"close":                {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhello", 200, "hello"},
 		"close in a list":      {"HTTP/1.1 200 OK\r\nCONNECTION: x, Close\r\n\r\nhello", 200, "hello"},
 		"an empty body":        {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", 200, ""},
-		"a long body":          {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + big, 200, big},
+		"a long body":          {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + longText, 200, longText},
 		"no Connection header": {"HTTP/1.1 200 OK\r\n\r\nhello", 502, ""},
 		"another token":        {"HTTP/1.1 200 OK\r\nConnection: closed\r\nX: close\r\n\r\nhello", 502, ""},
 	} {
@@ -134,8 +134,8 @@
 
 // Streaming bodies in both directions at the same time arrive complete, and the memory for them is bounded.
 func TestStreamingBodiesArriveCompleteInBoundedMemory(t *testing.T) {
-	const size, clients = 4 << 20, 24
-	text := make([]byte, size)
+	const bodySize, clients = 4 << 20, 24
+	text := make([]byte, bodySize)
 	for i := range text {
 		text[i] = byte(rand.Uint32())
 	}
@@ -143,24 +143,24 @@
 	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h := sha256.New()
 		n, _ := io.Copy(h, r.Body)
-		if n != size || !bytes.Equal(h.Sum(nil), sum[:]) {
+		if n != bodySize || !bytes.Equal(h.Sum(nil), sum[:]) {
 			w.WriteHeader(http.StatusInternalServerError)
 			return
 		}
-		w.Header().Set("Content-Length", fmt.Sprint(size))
+		w.Header().Set("Content-Length", fmt.Sprint(bodySize))
 		_, _ = w.Write(text)
 	}))
 	t.Cleanup(e.Close)
 	s := startPlatformWith(t, `{"memory_mb":96,"sockets":512}`, nil, e.Listener.Addr().String())
-	var before, after runtime.MemStats
+	var statsBefore, statsAfter runtime.MemStats
 	runtime.GC()
-	runtime.ReadMemStats(&before)
+	runtime.ReadMemStats(&statsBefore)
 	var running sync.WaitGroup
 	for i := range clients {
 		running.Go(func() {
 			r := s.newRequest(t, http.MethodPost, "/pay", fmt.Sprint(i), 20000)
 			r.Body = io.NopCloser(bytes.NewReader(text))
-			r.ContentLength = size
+			r.ContentLength = bodySize
 			if i%2 == 0 {
 				r.ContentLength = -1 // the body is sent in chunks
 			}
@@ -172,10 +172,11 @@
 			defer resp.Body.Close()
 			h := sha256.New()
 			n, err := io.Copy(h, resp.Body)
-			// A request may be shed, since the body memory is enough for only 12 requests at first.
+			// A request may be shed while the balancer's concurrency limit is reached, which starts at 6 attempts for the
+			// one endpoint.
 			isShed := resp.StatusCode == http.StatusServiceUnavailable
-			if !isShed && (err != nil || resp.StatusCode != http.StatusOK || n != size || !bytes.Equal(h.Sum(nil), sum[:])) {
-				t.Errorf("client %d: status %d, %d bytes, error %v, want 200 and the %d bytes of the endpoint", i, resp.StatusCode, n, err, size)
+			if !isShed && (err != nil || resp.StatusCode != http.StatusOK || n != bodySize || !bytes.Equal(h.Sum(nil), sum[:])) {
+				t.Errorf("client %d: status %d, %d bytes, error %v, want 200 and the %d bytes of the endpoint", i, resp.StatusCode, n, err, bodySize)
 			}
 		})
 	}
@@ -185,19 +186,19 @@
 		return reserved == 0 && waiting == 0
 	})
 	runtime.GC()
-	runtime.ReadMemStats(&after)
-	if growth := int64(after.HeapAlloc) - int64(before.HeapAlloc); growth > 24<<20 {
+	runtime.ReadMemStats(&statsAfter)
+	if growth := int64(statsAfter.HeapAlloc) - int64(statsBefore.HeapAlloc); growth > 24<<20 {
 		t.Errorf("the heap has grown by %d bytes, want at most %d", growth, 24<<20)
 	}
 }
 
-// The time limit of short responses must not apply while the beginning of a long response is buffered. When it did apply,
-// 28 long responses that arrived in pieces were cut off.
+// The time limit of short responses must not apply while the beginning of a long response is buffered. While it did apply,
+// one rehearsed day had 28 long responses cut off that endpoints sent in pieces.
 func TestLongResponseMayArriveSlowly(t *testing.T) {
-	big := strings.Repeat("z", 100<<10)
+	longText := strings.Repeat("z", 100<<10)
 	for name, head := range map[string]string{
-		"a length": fmt.Sprintf("Content-Length: %d\r\n\r\n", len(big)),
-		"chunks":   fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n", len(big)),
+		"a length": fmt.Sprintf("Content-Length: %d\r\n\r\n", len(longText)),
+		"chunks":   fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n", len(longText)),
 		"a close":  "Connection: close\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -205,9 +206,9 @@
 			e := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 				_, _ = io.WriteString(nc, "HTTP/1.1 200 OK\r\n"+head)
 				// Sending the part that the daemon buffers takes longer than the time limit of short responses.
-				for part := 0; part < len(big); part += 10 << 10 {
+				for part := 0; part < len(longText); part += 10 << 10 {
 					time.Sleep(100 * time.Millisecond)
-					_, _ = io.WriteString(nc, big[part:part+10<<10])
+					_, _ = io.WriteString(nc, longText[part:part+10<<10])
 				}
 				if name == "chunks" {
 					_, _ = io.WriteString(nc, "\r\n0\r\n\r\n")
@@ -215,8 +216,8 @@
 				return name != "a close"
 			})
 			s := startPlatform(t, e.Addr)
-			if status, body, _ := send(t, s.newRequest(t, http.MethodPost, "/pay", "1", 8000)); status != http.StatusOK || body != big {
-				t.Errorf("status %d with %d bytes, want 200 with %d bytes", status, len(body), len(big))
+			if status, body, _ := send(t, s.newRequest(t, http.MethodPost, "/pay", "1", 8000)); status != http.StatusOK || body != longText {
+				t.Errorf("status %d with %d bytes, want 200 with %d bytes", status, len(body), len(longText))
 			}
 		})
 	}
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -25,7 +25,7 @@
 	spec     config.PoolSpec
 	loop     *eventloop.Loop
 	upstream *upstream.Client
-	members  *discovery.MemberCache // endpoint list and flap histories; outlive the discovery source
+	members  *discovery.MemberCache // endpoint list, and how often each endpoint has disappeared from it; both outlive the discovery source
 	log      *slog.Logger
 
 	hasEndpointList           atomic.Bool  // whether discovery has delivered an endpoint list
--- a/internal/sidecar/reload_storm_test.go
+++ b/internal/sidecar/reload_storm_test.go
@@ -71,10 +71,10 @@
 // stormClient sends requests one after another on a connection that it keeps until the daemon closes it, and expects one
 // response to each.
 type stormClient struct {
-	arrivedIDs *sync.Map     // IDs of the requests that have arrived at any endpoint
-	nc         net.Conn      // connection to the daemon; nil: none is open
-	in         *bufio.Reader // buffered reader of nc
-	isNew      bool          // whether no response has come on nc yet
+	arrivedIDs          *sync.Map     // IDs of the requests that have arrived at any endpoint
+	nc                  net.Conn      // connection to the daemon; nil: none is open
+	in                  *bufio.Reader // buffered reader of nc
+	awaitsFirstResponse bool          // whether no response has come on nc yet
 
 	served int      // number of requests with the expected response
 	shed   int      // number of requests with status 503
@@ -101,7 +101,7 @@
 				c.lost = append(c.lost, err.Error())
 				return
 			}
-			c.nc, c.in, c.isNew = nc, bufio.NewReader(nc), true
+			c.nc, c.in, c.awaitsFirstResponse = nc, bufio.NewReader(nc), true
 		}
 		c.nc.SetDeadline(time.Now().Add(testpeer.Timeout))
 		_, err := io.WriteString(c.nc, "GET /x HTTP/1.1\r\nHost: h\r\nReq-Id: "+attemptID+"\r\n\r\n")
@@ -111,7 +111,7 @@
 		}
 		if err != nil {
 			_, hasArrived := c.arrivedIDs.Load(attemptID)
-			mayResend := !c.isNew && !hasArrived
+			mayResend := !c.awaitsFirstResponse && !hasArrived
 			c.closeConnection()
 			if !mayResend || attempt > 5 {
 				c.lost = append(c.lost, fmt.Sprintf("%s: %v (arrived at an endpoint: %v)", attemptID, err, hasArrived))
@@ -127,7 +127,7 @@
 
 // record counts a response by its status and body.
 func (c *stormClient) record(resp *http.Response, id string) {
-	c.isNew = false
+	c.awaitsFirstResponse = false
 	text, err := io.ReadAll(resp.Body)
 	switch {
 	case err != nil:
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -121,14 +121,14 @@
 		t.Fatal(err)
 	}
 	defer occupied.Close()
-	installed, listeners := s.installed, fmt.Sprint(s.Addrs())
+	installed, listenerAddrs := s.installed, fmt.Sprint(s.Addrs())
 	freeListener := "[[listener]]\nname = \"free\"\naddress = \"127.0.0.1:0\"\n"
 	inUseListener := fmt.Sprintf("[[listener]]\nname = \"inuse\"\naddress = %q\n", occupied.Addr())
 	err = s.Reload(parseService(t, freeListener+inUseListener+poolSection("b", a)+strings.ReplaceAll(lookRoute, `"a"`, `"b"`)))
 	if err == nil || !strings.Contains(err.Error(), "listener inuse") {
 		t.Errorf("error %v, want one that names the listener inuse", err)
 	}
-	if s.installed != installed || fmt.Sprint(s.Addrs()) != listeners {
+	if s.installed != installed || fmt.Sprint(s.Addrs()) != listenerAddrs {
 		t.Error("a failed reload changed the installed configuration or the listeners")
 	}
 	if _, text := sendGet(t, s.addressOf("one"), "h", "/"); !strings.HasPrefix(text, "A ") {
@@ -141,30 +141,30 @@
 // same address, no request is lost.
 func TestReloadMovesListener(t *testing.T) {
 	a := startEchoEndpoint(t, "A")
-	first, second := testpeer.FreeAddress(t), testpeer.FreeAddress(t)
+	firstAddr, secondAddr := testpeer.FreeAddress(t), testpeer.FreeAddress(t)
 	fileWith := func(addr string, listenerSettings string) string {
 		return fmt.Sprintf("[[listener]]\nname = \"one\"\naddress = %q\n%s", addr, listenerSettings) + poolSection("a", a) + lookRoute
 	}
-	s := startFromFile(t, parseService(t, fileWith(first, "")))
-	nc, in, _ := openConnection(t, first)
-	s.reload(t, fileWith(second, ""))
-	for _, addr := range []string{first, second} {
+	s := startFromFile(t, parseService(t, fileWith(firstAddr, "")))
+	nc, in, _ := openConnection(t, firstAddr)
+	s.reload(t, fileWith(secondAddr, ""))
+	for _, addr := range []string{firstAddr, secondAddr} {
 		if resp, _ := sendGet(t, addr, "h", "/"); resp.StatusCode != http.StatusOK {
 			t.Errorf("after the move, at %s: status %s, want 200", addr, resp.Status)
 		}
 	}
 	sendOn(t, nc, in)
 	// The first address is configured again while the listener that had it at the start is still draining.
-	s.reload(t, fileWith(first, ""))
+	s.reload(t, fileWith(firstAddr, ""))
 	// The changed timeout needs a new server, which takes over the same socket.
-	s.reload(t, fileWith(first, "idle_timeout = \"1s\"\n"))
+	s.reload(t, fileWith(firstAddr, "idle_timeout = \"1s\"\n"))
 	for range 50 {
-		if resp, _ := sendGet(t, first, "h", "/"); resp.StatusCode != http.StatusOK {
-			t.Errorf("after the move back, at %s: status %s, want 200", first, resp.Status)
+		if resp, _ := sendGet(t, firstAddr, "h", "/"); resp.StatusCode != http.StatusOK {
+			t.Errorf("after the move back, at %s: status %s, want 200", firstAddr, resp.Status)
 		}
 	}
 	testpeer.Eventually(t, "the second address is closed", func() bool {
-		nc, err := net.Dial("tcp", second)
+		nc, err := net.Dial("tcp", secondAddr)
 		if err == nil {
 			nc.Close()
 		}
--- a/internal/sidecar/request_test.go
+++ b/internal/sidecar/request_test.go
@@ -55,9 +55,9 @@
 	if n := e.Requests.Load(); n != 1 {
 		t.Errorf("the request was sent %d times, want once", n)
 	}
-	closed := testpeer.NewEndpoint(t, testpeer.RespondWith("", false))
-	closed.Listener.Close()
-	s = startPlatform(t, closed.Addr)
+	closedEndpoint := testpeer.NewEndpoint(t, testpeer.RespondWith("", false))
+	closedEndpoint.Listener.Close()
+	s = startPlatform(t, closedEndpoint.Addr)
 	status, _, h := send(t, s.newRequest(t, http.MethodPost, "/pay", "r2", 4000))
 	if status != http.StatusServiceUnavailable || h.Get("Retry-After") == "" {
 		t.Errorf("a request that was never sent: status %d, headers %v, want 503 with Retry-After", status, h)
@@ -122,38 +122,38 @@
 func TestInvalidRequestReachesNoEndpoint(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	s := startPlatform(t, e.Addr)
-	const host, id, ms = " HTTP/1.1\r\nHost: h\r\n", "Req-Id: r1\r\n", "Req-Deadline-Ms: 1000\r\n"
+	const versionAndHost, idLine, deadlineLine = " HTTP/1.1\r\nHost: h\r\n", "Req-Id: r1\r\n", "Req-Deadline-Ms: 1000\r\n"
 	for name, text := range map[string]string{
 		"binary garbage":            "\x01\x02 \x03\r\n\r\n",
-		"no host":                   "GET /look HTTP/1.1\r\n" + id + ms + "\r\n",
-		"no id":                     "GET /look" + host + ms + "\r\n",
-		"an empty id":               "GET /look" + host + "Req-Id:\r\n" + ms + "\r\n",
-		"two ids":                   "GET /look" + host + id + "Req-Id: r2\r\n" + ms + "\r\n",
-		"an over-long id":           "GET /look" + host + "Req-Id: " + strings.Repeat("x", 999) + "\r\n" + ms + "\r\n",
-		"no deadline":               "GET /look" + host + id + "\r\n",
-		"a non-numeric deadline":    "GET /look" + host + id + "Req-Deadline-Ms: soon\r\n\r\n",
-		"a zero deadline":           "GET /look" + host + id + "Req-Deadline-Ms: 0\r\n\r\n",
-		"a negative deadline":       "GET /look" + host + id + "Req-Deadline-Ms: -5\r\n\r\n",
-		"an overflowing deadline":   "GET /look" + host + id + "Req-Deadline-Ms: 99999999999999999999\r\n\r\n",
-		"a negative length":         "POST /pay" + host + id + ms + "Content-Length: -1\r\n\r\n",
-		"a non-numeric length":      "POST /pay" + host + id + ms + "Content-Length: x\r\n\r\n",
-		"an over-long body":         "POST /pay" + host + id + ms + "Content-Length: 33554433\r\n\r\n" + strings.Repeat("x", 70000),
-		"a huge length, no body":    "POST /pay" + host + id + ms + "Content-Length: 3000000000\r\n\r\n",
-		"chunks and a length":       "POST /pay" + host + id + ms + "Transfer-Encoding: chunked\r\nContent-Length: 12\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
-		"malformed chunks":          "POST /pay" + host + id + ms + "Transfer-Encoding: chunked\r\n\r\nhi\r\n0\r\n\r\n",
-		"HTTP/1.0":                  "GET /look HTTP/1.0\r\nHost: h\r\n" + id + ms + "\r\n",
-		"an unknown class":          "POST /new" + host + id + ms + "Content-Length: 0\r\n\r\n",
-		"an encoded class":          "GET /loo%6b" + host + id + ms + "\r\n",
-		"an absolute URL, no class": "GET http://h/" + host + id + ms + "\r\n",
-		"a URL of another scheme":   "GET ftp://h/look" + host + id + ms + "\r\n",
-		"a target not in ASCII":     "GET /look/\xff" + host + id + ms + "\r\n",
-		"a safe class by POST":      "POST /look" + host + id + ms + "Content-Length: 0\r\n\r\n",
-		"book by GET":               "GET /book" + host + id + ms + "Idempotency-Key: k\r\n\r\n",
-		"two keys":                  "POST /book" + host + id + ms + "Idempotency-Key: k\r\nIdempotency-Key: l\r\nContent-Length: 0\r\n\r\n",
-		"a safe class with a body":  "GET /look" + host + id + ms + "Content-Length: 2\r\n\r\nhi",
-		"an over-long head":         "GET /look" + host + id + ms + "X: " + strings.Repeat("x", 64<<10) + "\r\n\r\n",
-		"book with no key":          "POST /book" + host + id + ms + "Content-Length: 0\r\n\r\n",
-		"another method":            "DELETE /look" + host + id + ms + "\r\n",
+		"no host":                   "GET /look HTTP/1.1\r\n" + idLine + deadlineLine + "\r\n",
+		"no id":                     "GET /look" + versionAndHost + deadlineLine + "\r\n",
+		"an empty id":               "GET /look" + versionAndHost + "Req-Id:\r\n" + deadlineLine + "\r\n",
+		"two ids":                   "GET /look" + versionAndHost + idLine + "Req-Id: r2\r\n" + deadlineLine + "\r\n",
+		"an over-long id":           "GET /look" + versionAndHost + "Req-Id: " + strings.Repeat("x", 999) + "\r\n" + deadlineLine + "\r\n",
+		"no deadline":               "GET /look" + versionAndHost + idLine + "\r\n",
+		"a non-numeric deadline":    "GET /look" + versionAndHost + idLine + "Req-Deadline-Ms: soon\r\n\r\n",
+		"a zero deadline":           "GET /look" + versionAndHost + idLine + "Req-Deadline-Ms: 0\r\n\r\n",
+		"a negative deadline":       "GET /look" + versionAndHost + idLine + "Req-Deadline-Ms: -5\r\n\r\n",
+		"an overflowing deadline":   "GET /look" + versionAndHost + idLine + "Req-Deadline-Ms: 99999999999999999999\r\n\r\n",
+		"a negative length":         "POST /pay" + versionAndHost + idLine + deadlineLine + "Content-Length: -1\r\n\r\n",
+		"a non-numeric length":      "POST /pay" + versionAndHost + idLine + deadlineLine + "Content-Length: x\r\n\r\n",
+		"an over-long body":         "POST /pay" + versionAndHost + idLine + deadlineLine + "Content-Length: 33554433\r\n\r\n" + strings.Repeat("x", 70000),
+		"a huge length, no body":    "POST /pay" + versionAndHost + idLine + deadlineLine + "Content-Length: 3000000000\r\n\r\n",
+		"chunks and a length":       "POST /pay" + versionAndHost + idLine + deadlineLine + "Transfer-Encoding: chunked\r\nContent-Length: 12\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
+		"malformed chunks":          "POST /pay" + versionAndHost + idLine + deadlineLine + "Transfer-Encoding: chunked\r\n\r\nhi\r\n0\r\n\r\n",
+		"HTTP/1.0":                  "GET /look HTTP/1.0\r\nHost: h\r\n" + idLine + deadlineLine + "\r\n",
+		"an unknown class":          "POST /new" + versionAndHost + idLine + deadlineLine + "Content-Length: 0\r\n\r\n",
+		"an encoded class":          "GET /loo%6b" + versionAndHost + idLine + deadlineLine + "\r\n",
+		"an absolute URL, no class": "GET http://h/" + versionAndHost + idLine + deadlineLine + "\r\n",
+		"a URL of another scheme":   "GET ftp://h/look" + versionAndHost + idLine + deadlineLine + "\r\n",
+		"a target not in ASCII":     "GET /look/\xff" + versionAndHost + idLine + deadlineLine + "\r\n",
+		"a safe class by POST":      "POST /look" + versionAndHost + idLine + deadlineLine + "Content-Length: 0\r\n\r\n",
+		"book by GET":               "GET /book" + versionAndHost + idLine + deadlineLine + "Idempotency-Key: k\r\n\r\n",
+		"two keys":                  "POST /book" + versionAndHost + idLine + deadlineLine + "Idempotency-Key: k\r\nIdempotency-Key: l\r\nContent-Length: 0\r\n\r\n",
+		"a safe class with a body":  "GET /look" + versionAndHost + idLine + deadlineLine + "Content-Length: 2\r\n\r\nhi",
+		"an over-long head":         "GET /look" + versionAndHost + idLine + deadlineLine + "X: " + strings.Repeat("x", 64<<10) + "\r\n\r\n",
+		"book with no key":          "POST /book" + versionAndHost + idLine + deadlineLine + "Content-Length: 0\r\n\r\n",
+		"another method":            "DELETE /look" + versionAndHost + idLine + deadlineLine + "\r\n",
 	} {
 		nc, err := net.Dial("tcp", s.addr)
 		if err != nil {
@@ -180,8 +180,8 @@
 // request has other defects.
 func TestIncompleteRequestBodyTimesOut(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
-	shortTimeout := func(c *config.Service) { c.Listeners[0].BodyTimeout = 100 * time.Millisecond }
-	s := startPlatformWith(t, "{}", []func(*config.Service){shortTimeout}, e.Addr)
+	setShortTimeout := func(c *config.Service) { c.Listeners[0].BodyTimeout = 100 * time.Millisecond }
+	s := startPlatformWith(t, "{}", []func(*config.Service){setShortTimeout}, e.Addr)
 	for name, fields := range map[string]string{"valid headers": "Req-Id: r1\r\nReq-Deadline-Ms: 60000\r\n", "no id": ""} {
 		nc, err := net.Dial("tcp", s.addr)
 		if err != nil {
--- a/internal/sidecar/settings.go
+++ b/internal/sidecar/settings.go
@@ -16,9 +16,9 @@
 // leader fit into this time.
 const firstGrantTimeout = 2 * time.Second
 
-// noLeaseRetryAfter is the Retry-After of requests that are rejected because this daemon has no valid lease. It is
-// close to the time after which such a daemon requests a lease if it can reach a voter: every conflict_within/4, 1.25 s by
-// default, and at once if its lease expired while the process was stopped.
+// noLeaseRetryAfter is the Retry-After of requests that are rejected because this daemon has no valid lease. It is close
+// to the interval at which such a daemon requests a lease from the voters: conflict_within/4, which is 1.25 s by default. A
+// daemon whose lease expired while the process was stopped requests a lease at once.
 const noLeaseRetryAfter = time.Second
 
 // activeSettings identifies the agreed settings in the installed configuration.
@@ -76,9 +76,9 @@
 // requestGuard returns a function that decides whether a request is served. The function rejects requests unless this
 // daemon's lease covers servedVersion, the version of the settings with which it serves requests. So no daemon serves with
 // an old version for longer than the cluster guarantees. requestGuard returns nil, which means that all requests are
-// served, if isWanted is false or the cluster does not agree on settings.
-func (n *clusterNode) requestGuard(isWanted bool, servedVersion *atomic.Uint64) func() bool {
-	if !n.hasConsensus() || !isWanted {
+// served, if rejectsWithoutLease is false or the cluster does not agree on settings.
+func (n *clusterNode) requestGuard(rejectsWithoutLease bool, servedVersion *atomic.Uint64) func() bool {
+	if !n.hasConsensus() || !rejectsWithoutLease {
 		return nil
 	}
 	return func() bool {
--- a/internal/sidecar/settings_command.go
+++ b/internal/sidecar/settings_command.go
@@ -124,18 +124,18 @@
 		}
 		c.ExpectedVersion = &expectedVersion
 	}
-	document := args[2]
-	if !config.IsDocumentName(document) {
-		return fmt.Errorf("%.40q is no name of a document", document)
+	documentName := args[2]
+	if !config.IsDocumentName(documentName) {
+		return fmt.Errorf("%.40q is no name of a document", documentName)
 	}
 	var err error
 	switch name {
 	case "put":
-		c.Put = &consensus.DocumentPut{Name: document, Body: body}
+		c.Put = &consensus.DocumentPut{Name: documentName, Body: body}
 	case "remove":
-		c.Remove = document
+		c.Remove = documentName
 	default:
-		c.Revert = &consensus.DocumentVersion{Name: document}
+		c.Revert = &consensus.DocumentVersion{Name: documentName}
 		c.Revert.Version, err = strconv.ParseUint(args[3], 10, 64)
 	}
 	return err
@@ -164,8 +164,8 @@
 	return s.Write(w)
 }
 
-// writeVersions writes the status of the agreed settings on this daemon without the lines for the documents.
-func (n *clusterNode) writeVersions(w io.Writer) error {
+// writeSettingsStatus writes the status of the agreed settings on this daemon without the lines for the documents.
+func (n *clusterNode) writeSettingsStatus(w io.Writer) error {
 	if !n.hasConsensus() {
 		return errNoConsensus
 	}
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -39,20 +39,20 @@
 	s.isReady.Store(false)
 	s.mu.Lock()
 	s.isShuttingDown = true
-	open := s.listeners
-	ending := slices.AppendSeq(slices.Collect(maps.Keys(s.drainingListeners)), maps.Values(open))
-	for _, l := range ending {
+	openListeners := s.listeners
+	endingListeners := slices.AppendSeq(slices.Collect(maps.Keys(s.drainingListeners)), maps.Values(openListeners))
+	for _, l := range endingListeners {
 		l.isDraining.Store(true)
 		l.frontend.SetShutdownDeadline(time.Now().Add(s.gracePeriod - requestDeadlineMargin))
-		defer time.AfterFunc(s.streamTimeout, l.frontend.AbortStreams).Stop()
+		defer time.AfterFunc(s.shutdownStreamTimeout, l.frontend.AbortStreams).Stop()
 	}
 	s.mu.Unlock()
-	errs := make(chan error, len(open))
-	for _, l := range open {
+	errs := make(chan error, len(openListeners))
+	for _, l := range openListeners {
 		go func() { errs <- l.drain(replacedBy, s.gracePeriod-closeConnectionsMargin) }()
 	}
 	var err error
-	for range open {
+	for range openListeners {
 		err = errors.Join(err, <-errs)
 	}
 	s.mu.Lock()
@@ -61,7 +61,7 @@
 	s.mu.Unlock()
 	s.retiring.Wait()
 	// Leave the cluster only after the last client has its response: as long as this daemon sends requests, the other
-	// members must count it among those that divide the endpoints.
+	// members must count it among the daemons that share the endpoints.
 	err = errors.Join(err, s.cluster.close())
 	if adminServer != nil {
 		err = errors.Join(err, adminServer.Close())
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -25,17 +25,17 @@
 func TestEndpointUpdateOvertakesQueuedRequests(t *testing.T) {
 	// The event loop picks at random between its two queues: that it picks the same one 30 times in a row has a
 	// probability of one in a billion.
-	const queued, maxHandledBefore = 200, 30
+	const queuedEvents, maxHandledBeforeUpdate = 200, 30
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool(eventloop.NewBalancer, config.PoolSpec{Name: "p"}, nil, &metrics.Registry{}, slog.New(slog.DiscardHandler))
 		defer p.close()
 		unblock := make(chan struct{})
 		p.loop.Post(func(time.Duration) { <-unblock })
-		handled, updatedAfter := 0, -1
-		for range queued {
+		handled, handledBeforeUpdate := 0, -1
+		for range queuedEvents {
 			p.loop.Post(func(time.Duration) {
-				if _, members, _, _ := p.loop.ResourceCounts(); members > 0 && updatedAfter < 0 {
-					updatedAfter = handled
+				if _, members, _, _ := p.loop.ResourceCounts(); members > 0 && handledBeforeUpdate < 0 {
+					handledBeforeUpdate = handled
 				}
 				handled++
 			})
@@ -44,9 +44,9 @@
 		synctest.Wait()
 		close(unblock)
 		synctest.Wait()
-		if updatedAfter < 0 || updatedAfter > maxHandledBefore {
+		if handledBeforeUpdate < 0 || handledBeforeUpdate > maxHandledBeforeUpdate {
 			t.Errorf("the list was applied after %d of %d queued events (-1: after all), want at most %d",
-				updatedAfter, handled, maxHandledBefore)
+				handledBeforeUpdate, handled, maxHandledBeforeUpdate)
 		}
 	})
 }
@@ -54,10 +54,10 @@
 // After SIGTERM the platform waits for the grace period and then kills the process. Every request that was accepted before
 // or after the signal must have its response by then, although its own deadline is later and its endpoint hangs.
 func TestEveryRequestGetsResponseWithinGracePeriod(t *testing.T) {
-	const grace = 1200 * time.Millisecond
+	const gracePeriod = 1200 * time.Millisecond
 	arrived := make(chan bool, 10)
 	e := testpeer.NewEndpoint(t, func(net.Conn, *http.Request, int) bool { arrived <- true; return true })
-	s := startPlatformWith(t, "{}", []func(*config.Service){func(c *config.Service) { c.TerminationGrace = grace }}, e.Addr)
+	s := startPlatformWith(t, "{}", []func(*config.Service){func(c *config.Service) { c.TerminationGrace = gracePeriod }}, e.Addr)
 	sendHangingRequest := func(id, class string) *bufio.Reader {
 		nc, err := net.Dial("tcp", s.addr)
 		if err != nil {
@@ -71,12 +71,12 @@
 		<-arrived
 		return bufio.NewReader(nc)
 	}
-	before := []*bufio.Reader{sendHangingRequest("1", "look"), sendHangingRequest("2", "pay")}
+	readersBeforeSignal := []*bufio.Reader{sendHangingRequest("1", "look"), sendHangingRequest("2", "pay")}
 	terminatedAt := time.Now()
 	s.terminate()
 	testpeer.Eventually(t, "the shutdown has begun", func() bool { return s.frontend.IsShuttingDown() })
-	after := []*bufio.Reader{sendHangingRequest("3", "look"), sendHangingRequest("4", "pay")}
-	for i, in := range append(before, after...) {
+	readersAfterSignal := []*bufio.Reader{sendHangingRequest("3", "look"), sendHangingRequest("4", "pay")}
+	for i, in := range append(readersBeforeSignal, readersAfterSignal...) {
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil {
 			t.Fatalf("request %d: %v", i+1, err)
@@ -86,12 +86,12 @@
 		}
 	}
 	took := time.Since(terminatedAt)
-	t.Logf("all requests had their responses after %v of a grace period of %v", took, grace)
+	t.Logf("all requests had their responses after %v of a grace period of %v", took, gracePeriod)
 	if err := <-s.serveResult; err != nil {
 		t.Error(err)
 	}
-	if took < grace/2 {
-		t.Errorf("all requests were ended after %v, want at least half of the grace period of %v", took, grace)
+	if took < gracePeriod/2 {
+		t.Errorf("all requests were ended after %v, want at least half of the grace period of %v", took, gracePeriod)
 	}
 }
 
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -46,8 +46,8 @@
 	isReady          atomic.Bool  // whether this process takes clients
 	fixedDescriptors int          // number of descriptors that are neither clients' nor endpoints' connections
 
-	streamTimeout time.Duration // time from the start of the shutdown until streaming bodies are aborted
-	gracePeriod   time.Duration // shortest time from the start of the shutdown until the platform kills the process
+	shutdownStreamTimeout time.Duration // time from the start of the shutdown until streaming bodies are aborted
+	gracePeriod           time.Duration // shortest time from the start of the shutdown until the platform kills the process
 
 	mu                sync.Mutex // guards the fields below; a reload holds it from beginning to end
 	isShuttingDown    bool       // whether the shutdown has begun; reloads fail from then on
@@ -75,17 +75,17 @@
 // use it to run other load balancing algorithms, which they compare with package balance.
 func StartWith(newBalancer eventloop.BalancerFactory, c config.Service, log *slog.Logger) (*Sidecar, error) {
 	s := &Sidecar{
-		newBalancer:       newBalancer,
-		log:               log,
-		listenerFailed:    make(chan error, 1),
-		streamTimeout:     c.DrainTimeout,
-		gracePeriod:       c.TerminationGrace,
-		metrics:           &metrics.Registry{},
-		overrides:         newOverrides(),
-		fixedDescriptors:  c.ReservedDescriptors(),
-		listeners:         map[string]*listener{},
-		drainingListeners: map[*listener]bool{},
-		runningPools:      map[*pool]bool{},
+		newBalancer:           newBalancer,
+		log:                   log,
+		listenerFailed:        make(chan error, 1),
+		shutdownStreamTimeout: c.DrainTimeout,
+		gracePeriod:           c.TerminationGrace,
+		metrics:               &metrics.Registry{},
+		overrides:             newOverrides(),
+		fixedDescriptors:      c.ReservedDescriptors(),
+		listeners:             map[string]*listener{},
+		drainingListeners:     map[*listener]bool{},
+		runningPools:          map[*pool]bool{},
 	}
 	if c.BodyMemory > 0 {
 		s.bodyMemory = body.NewMemoryPool(c.BodyMemory)
--- a/internal/sidecar/socket.go
+++ b/internal/sidecar/socket.go
@@ -98,7 +98,7 @@
 	return &socketHandle{sharedSocket: s}, true
 }
 
-// Addr implements net.Listener.
+// Addr implements net.Listener. It returns the address of the shared socket.
 func (h *socketHandle) Addr() net.Addr { return h.tcp.Addr() }
 
 // Accept implements net.Listener. It returns net.ErrClosed once the handle is closed.
--- a/internal/sidecar/streaming_shutdown_test.go
+++ b/internal/sidecar/streaming_shutdown_test.go
@@ -28,8 +28,8 @@
 	_, _ = fmt.Fprintf(nc, "POST /up HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", size)
 	response = make(chan string, 1)
 	go func() {
-		all, _ := io.ReadAll(nc)
-		response <- string(all)
+		daemonOutput, _ := io.ReadAll(nc)
+		response <- string(daemonOutput)
 	}()
 	return nc, response
 }
@@ -57,13 +57,13 @@
 	file := "[daemon]\ndrain_timeout = \"1s\"\n" + streamingListener + poolSection("a", e.Listener.Addr().String()) + payRoute
 	s := startFromFile(t, parseService(t, file))
 	addr := s.addressOf("one")
-	quick, quickResponse := startUpload(t, addr, 1<<20)
-	quick.Write(longBody(64 << 10))
-	stuck, stuckResponse := startUpload(t, addr, 1<<20)
-	stuck.Write(longBody(64 << 10))
+	quickUpload, quickResponse := startUpload(t, addr, 1<<20)
+	quickUpload.Write(longBody(64 << 10))
+	stuckUpload, stuckResponse := startUpload(t, addr, 1<<20)
+	stuckUpload.Write(longBody(64 << 10))
 	// The daemon still buffers the first bytes of this upload when the shutdown begins.
-	buffered, bufferedResponse := startUpload(t, addr, 1<<20)
-	buffered.Write(longBody(100))
+	bufferedUpload, bufferedResponse := startUpload(t, addr, 1<<20)
+	bufferedUpload.Write(longBody(100))
 	download := make(chan error, 1)
 	go func() {
 		resp, err := (&http.Transport{}).RoundTrip(newGetRequest("http://" + addr + "/down"))
@@ -76,7 +76,7 @@
 		<-arrived
 	}
 	s.terminate()
-	quick.Write(longBody(1 << 20)[64<<10:])
+	quickUpload.Write(longBody(1 << 20)[64<<10:])
 	if got := <-quickResponse; !strings.HasPrefix(got, "HTTP/1.1 200 OK") || !strings.HasSuffix(got, "complete") {
 		t.Errorf("an upload that ends in time: response %q, want 200 \"complete\"", got)
 	}
@@ -162,7 +162,7 @@
 		s := startFromFile(t, parseService(t, streamingListener+poolSection("a", l.Addr().String())+payRoute))
 		nc, response := startUpload(t, s.addressOf("one"), 1<<30)
 		nc.Write(longBody(64 << 10))
-		got := <-response // the response comes although the body never ends, since the daemon closes the connection
+		got := <-response // the daemon closes the connection after the response, although the body never ends
 		if !strings.HasPrefix(got, fmt.Sprintf("HTTP/1.1 %d ", status)) || !strings.HasSuffix(got, "early") ||
 			!strings.Contains(got, "Connection: close") {
 			t.Errorf("response %q, want status %d, \"early\" and Connection: close", got, status)
@@ -172,10 +172,10 @@
 
 // Two hundred uploads that are too slow reach no endpoint, and do not disturb other clients.
 func TestSlowUploadsAreRejectedBeforeAnEndpoint(t *testing.T) {
-	var reachedUploads atomic.Int32
+	var uploadsAtEndpoint atomic.Int32
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, r *http.Request, _ int) bool {
 		if r.Method == http.MethodPost {
-			reachedUploads.Add(1)
+			uploadsAtEndpoint.Add(1)
 		}
 		io.WriteString(nc, testpeer.ResponseOK)
 		return true
@@ -204,7 +204,7 @@
 			t.Errorf("a slow upload: response %q, want 408", got)
 		}
 	}
-	if n := reachedUploads.Load(); n != 0 {
+	if n := uploadsAtEndpoint.Load(); n != 0 {
 		t.Errorf("%d slow uploads reached the endpoint, want none", n)
 	}
 	if reserved, _ := s.bodyMemory.InUse(); reserved != 0 {
