--- a/internal/sidecar/fault_matrix_test.go
+++ b/internal/sidecar/fault_matrix_test.go
@@ -294,8 +294,8 @@
 	}
 	t.Logf("%d cells, of which %d are not as the table promises", len(cells), failedCells.Load())
 	testpeer.Eventually(t, "all body memory is released", func() bool {
-		reserved, waiting := s.bodyMemory.InUse()
-		return reserved == 0 && waiting == 0
+		reservedBytes, waiting := s.bodyMemory.InUse()
+		return reservedBytes == 0 && waiting == 0
 	})
 	// Idle connections to endpoints may stay open: at most two for each pool, each with a goroutine at the endpoint.
 	testpeer.Eventually(t, "goroutines end", func() bool { return runtime.NumGoroutine() <= goroutinesBefore+2*len(cells) })
--- a/internal/sidecar/platform_test.go
+++ b/internal/sidecar/platform_test.go
@@ -182,8 +182,8 @@
 	}
 	running.Wait()
 	testpeer.Eventually(t, "no body memory is reserved", func() bool {
-		reserved, waiting := s.bodyMemory.InUse()
-		return reserved == 0 && waiting == 0
+		reservedBytes, waiting := s.bodyMemory.InUse()
+		return reservedBytes == 0 && waiting == 0
 	})
 	runtime.GC()
 	runtime.ReadMemStats(&statsAfter)
--- a/internal/sidecar/streaming_shutdown_test.go
+++ b/internal/sidecar/streaming_shutdown_test.go
@@ -207,7 +207,7 @@
 	if n := uploadsAtEndpoint.Load(); n != 0 {
 		t.Errorf("%d slow uploads reached the endpoint, want none", n)
 	}
-	if reserved, _ := s.bodyMemory.InUse(); reserved != 0 {
-		t.Errorf("%d bytes of the body memory are still reserved, want none", reserved)
+	if reservedBytes, _ := s.bodyMemory.InUse(); reservedBytes != 0 {
+		t.Errorf("%d bytes of the body memory are still reserved, want none", reservedBytes)
 	}
 }
--- a/internal/sidecar/streaming_test.go
+++ b/internal/sidecar/streaming_test.go
@@ -88,8 +88,8 @@
 			}
 		}
 	}
-	if reserved, waiting := s.bodyMemory.InUse(); reserved != 0 || waiting != 0 {
-		t.Errorf("%d bytes of the body memory are still reserved, and %d requests wait for some", reserved, waiting)
+	if reservedBytes, waiting := s.bodyMemory.InUse(); reservedBytes != 0 || waiting != 0 {
+		t.Errorf("%d bytes of the body memory are still reserved, and %d requests wait for some", reservedBytes, waiting)
 	}
 }
 
