--- a/internal/admin/command.go
+++ b/internal/admin/command.go
@@ -82,7 +82,7 @@
 	return c, nil
 }
 
-// isControl reports whether a character is a control character other than the tab, which a line must not contain.
+// isControl reports whether a character is a control character that a line must not contain: any but the tab.
 func isControl(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }
 
 // parseSettings parses the words after VerbSettings. It interprets only a body's length and leaves the rest to the handler.
--- a/internal/admin/command_test.go
+++ b/internal/admin/command_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-func FuzzParseCommand(f *testing.F) {
+func FuzzParseCommandReturnsValidCommandOrOneLineError(f *testing.F) {
 	f.Add([]byte("set-down s-12"))
 	f.Add([]byte("check"))
 	f.Fuzz(func(t *testing.T, line []byte) {
--- a/internal/admin/execute.go
+++ b/internal/admin/execute.go
@@ -32,7 +32,7 @@
 	SetEjected func(ctx context.Context, id string, isEjected bool) (string, error)
 }
 
-// execute calls the handler of a command and returns the response to the client.
+// execute calls the handler of a command and returns the response, which the caller writes to the client.
 func (s *Server) execute(c Command, body []byte) []byte {
 	ctx, cancel := context.WithTimeout(context.Background(), responseTimeout)
 	defer cancel()
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -32,8 +32,8 @@
 // After the response, the server waits for the client to close the connection and discards what the client still sends. Closing
 // a connection with unread bytes makes the kernel send a reset, which can destroy the response before the client reads it.
 const (
-	lingerTimeout  = 200 * time.Millisecond // maximum time to wait until the client closes the connection
-	maxLingerBytes = 64 << 10               // maximum number of bytes that are read and discarded
+	lingerTimeout  = 200 * time.Millisecond // maximum time after the response to wait until the client closes the connection
+	maxLingerBytes = 64 << 10               // maximum number of bytes that are read from the client after the response and discarded
 )
 
 // Server accepts connections and executes their commands. The number of open connections is limited: at the limit, a new
@@ -45,7 +45,7 @@
 	log            *slog.Logger
 
 	mu                 sync.Mutex
-	openConnections    int
+	openCount          int
 	connectionsChanged sync.Cond // signaled when a connection has ended or become idle
 	idle               list.List // connections (net.Conn) that may be closed in favor of new ones; the first element is closed first
 	isClosed           bool
@@ -103,7 +103,7 @@
 	for e := s.idle.Front(); e != nil; e = e.Next() {
 		e.Value.(net.Conn).Close()
 	}
-	for s.openConnections > 0 {
+	for s.openCount > 0 {
 		s.connectionsChanged.Wait()
 	}
 	return err
@@ -115,7 +115,7 @@
 func (s *Server) admit(nc net.Conn) (*connection, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for s.openConnections >= s.maxConnections && !s.isClosed {
+	for s.openCount >= s.maxConnections && !s.isClosed {
 		if oldest := s.idle.Front(); oldest != nil {
 			s.idle.Remove(oldest).(net.Conn).Close() // the read of the connection's goroutine then fails, and the goroutine calls release
 		}
@@ -124,7 +124,7 @@
 	if s.isClosed {
 		return nil, false
 	}
-	s.openConnections++
+	s.openCount++
 	return &connection{Conn: nc, idleEntry: s.idle.PushBack(nc)}, true
 }
 
@@ -134,7 +134,7 @@
 	defer s.mu.Unlock()
 	s.idle.Remove(c.idleEntry)
 	c.Close()
-	s.openConnections--
+	s.openCount--
 	s.connectionsChanged.Broadcast()
 }
 
@@ -143,9 +143,9 @@
 func (s *Server) markBusy(c *connection) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	idleBefore := s.idle.Len()
+	idleCountBefore := s.idle.Len()
 	s.idle.Remove(c.idleEntry)
-	return s.idle.Len() < idleBefore
+	return s.idle.Len() < idleCountBefore
 }
 
 // serveConnection reads one command, executes it and writes the response.
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -51,11 +51,11 @@
 		t.Fatal(err)
 	}
 	s := New(l, testMaxConnections, handlers, slog.New(slog.DiscardHandler))
-	served := make(chan struct{})
-	go func() { defer close(served); s.Serve() }()
+	serveEnded := make(chan struct{})
+	go func() { defer close(serveEnded); s.Serve() }()
 	t.Cleanup(func() {
 		s.Close()
-		<-served
+		<-serveEnded
 	})
 	return s
 }
@@ -181,7 +181,7 @@
 	if _, err := nc.Read(make([]byte, 1)); err == nil {
 		t.Error("a connection is still open after Close")
 	}
-	if s.openConnections != 0 || s.idle.Len() != 0 {
-		t.Errorf("%d connections open and %d idle after Close, want 0 and 0", s.openConnections, s.idle.Len())
+	if s.openCount != 0 || s.idle.Len() != 0 {
+		t.Errorf("%d connections open and %d idle after Close, want 0 and 0", s.openCount, s.idle.Len())
 	}
 }
--- a/internal/frontend/arrival.go
+++ b/internal/frontend/arrival.go
@@ -22,7 +22,7 @@
 // for concurrent use.
 type stallDetector struct {
 	startedAt          time.Time    // when the detector was created; never changes
-	lastRequest        atomic.Int64 // when the latest request was read, in nanoseconds since startedAt
+	lastRequestAt      atomic.Int64 // when the latest request was read, in nanoseconds since startedAt
 	mayHaveWaitedUntil atomic.Int64 // end of the period in which requests may have waited, in nanoseconds since startedAt
 }
 
@@ -30,7 +30,7 @@
 // the pauses between requests are as long as a stall, so that the result is true for every request. This costs a system call for each.
 func (d *stallDetector) observeRequest(now time.Time) (mayHaveWaited bool) {
 	sinceStart := now.Sub(d.startedAt).Nanoseconds()
-	if sinceStart-d.lastRequest.Swap(sinceStart) >= int64(stallThreshold) {
+	if sinceStart-d.lastRequestAt.Swap(sinceStart) >= int64(stallThreshold) {
 		d.mayHaveWaitedUntil.Store(sinceStart + int64(arrivalCheckPeriod))
 	}
 	return sinceStart < d.mayHaveWaitedUntil.Load()
--- a/internal/frontend/arrival_test.go
+++ b/internal/frontend/arrival_test.go
@@ -10,7 +10,7 @@
 )
 
 // After a stall of the process the deadline of a request counts from its arrival, and its client may have disconnected. Otherwise
-// a sidecar that was stopped for 20 s forwards requests from its sockets 16 s after their clients have disconnected.
+// a sidecar that resumes after a stop of 20 s forwards requests from its sockets whose clients disconnected 16 s earlier, during the stop.
 func TestDeadlineOfRequestThatWaitedInItsSocketCountsFromItsArrival(t *testing.T) {
 	idle := acceptIdleConn(t)
 	if _, err := io.ReadAtLeast(idle.client, make([]byte, 16), 1); err != nil { // read the response that acceptIdleConn wrote
--- a/internal/frontend/body.go
+++ b/internal/frontend/body.go
@@ -66,7 +66,7 @@
 		return nil, newRejection(http.StatusBadRequest, "%w", err)
 	}
 	content, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.options.MaxBodyBytes))
-	if tooLong := (*http.MaxBytesError)(nil); errors.As(err, &tooLong) {
+	if tooLongErr := (*http.MaxBytesError)(nil); errors.As(err, &tooLongErr) {
 		return nil, newRejection(http.StatusRequestEntityTooLarge, "the body is too long")
 	}
 	if err != nil {
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -17,8 +17,8 @@
 const (
 	// finalReadTimeout is how long the last read waits on a connection that is about to be closed.
 	finalReadTimeout = 20 * time.Millisecond
-	// maxFinalReads is the maximum number of last reads on a connection. The last read is repeated if the process got no processor
-	// time while it waited.
+	// maxFinalReads is the maximum number of times that the last read on a connection is tried before the connection is closed. It is
+	// tried again if the process got no processor time while it waited.
 	maxFinalReads = 3
 )
 
@@ -35,7 +35,7 @@
 	element         *list.Element // the connection's element of queue
 	queuedAt        time.Time     // when the connection was added to queue
 	awaitsFirstByte bool          // no byte was received since the last write: the next byte begins a request
-	isEvicted       bool          // the next read ends the connection, unless bytes are received first
+	isEvicted       bool          // the next read that receives no bytes ends the connection
 	isCounted       bool          // the connection is counted in listener.openCount
 }
 
@@ -111,13 +111,14 @@
 	c.awaitsFirstByte = true // set before the write, since the client may send its next request as soon as it receives the bytes
 	c.listener.mu.Unlock()
 	if meter := c.writeMeter.Load(); meter != nil {
-		n, err := body.Write(c.Conn, meter, neverStopped, net.Buffers{b})
+		n, err := body.Write(c.Conn, meter, isWriteStopped, net.Buffers{b})
 		return int(n), err
 	}
 	return c.Conn.Write(b)
 }
 
-func neverStopped() bool { return false }
+// isWriteStopped reports whether a write to a client was stopped. This never happens.
+func isWriteStopped() bool { return false }
 
 // splicer is a source whose bytes the kernel can move to a connection without copying them to this process.
 type splicer interface {
--- a/internal/frontend/dispatch.go
+++ b/internal/frontend/dispatch.go
@@ -67,12 +67,15 @@
 // ClientGone, which has no response.
 func (s *Server) endWithoutReply(w *responseWriter, r *http.Request, request *routedRequest, isClientGone bool) {
 	upload, isDisconnected := request.call.Message.Upload, isClientGone || r.Context().Err() != nil
-	if isClientGone && upload != nil { // the kernel reports a disconnect even if bytes that the client sent before are still unread
+	if isClientGone && upload != nil {
+		// The kernel reports a disconnect even if bytes that the client sent before are unread. Whether they complete the body is known
+		// only after they were read.
 		_ = upload.ReadToEnd() // upload.Err keeps the error
 	}
 	switch {
 	case upload != nil && (upload.Err() != nil || isDisconnected && upload.ErrAfterRead() != nil):
-		// A body that cannot be read looks like a disconnect, too, but its client gets a response.
+		// When reading a body fails, net/http cancels the request's context as it does after a disconnect. The client may still be
+		// connected, so it gets a response.
 		bodyRejection(upload.Err()).write(w)
 	case isDisconnected:
 		// The client may have closed only its sending side. It must not get the empty response that net/http would write.
--- a/internal/frontend/dispatch_test.go
+++ b/internal/frontend/dispatch_test.go
@@ -66,10 +66,10 @@
 // endpoints drop duplicates, even if the retry began to dial within the window.
 func TestRetryIsNotForwardedAfterItsIdempotencyWindow(t *testing.T) {
 	e := testpeer.NewEndpoint(t, func(net.Conn, *http.Request, int) bool { return false }) // closes the connection without a response
-	var dials atomic.Int32
+	var dialCount atomic.Int32
 	mayDialAgain := make(chan struct{})
 	p := startProxy(t, proxyOptions{canCancel: true, beforeDial: func() {
-		if dials.Add(1) > 1 {
+		if dialCount.Add(1) > 1 {
 			<-mayDialAgain
 		}
 	}}, e.Addr)
@@ -80,8 +80,8 @@
 	p.awaitDial(t)
 	testpeer.Eventually(t, "the deduplication window has ended", func() bool { return time.Since(sentAt) > idempotencyWindow+100*time.Millisecond })
 	close(mayDialAgain)
-	// The balancer sheds the request, since a retry by the client is harmless: all endpoints drop duplicates by the request's
-	// key.
+	// The balancer sheds the request although its first attempt may have run. It takes a retry by the client to be harmless, since all
+	// endpoints drop duplicates by the request's key, and does not check whether the deduplication window has ended.
 	if got := readStatus(client); got != http.StatusServiceUnavailable {
 		t.Errorf("status %d, want 503", got)
 	}
--- a/internal/frontend/eviction.go
+++ b/internal/frontend/eviction.go
@@ -76,8 +76,8 @@
 	_ = c.Conn.SetReadDeadline(time.Unix(1, 0)) // this fails only on a closed connection, on which the read returns anyway
 }
 
-// cancelEviction cancels an eviction because a request was received first. The request must be read by the deadline; zero means no
-// deadline. listener.mu is held.
+// cancelEviction cancels an eviction because a request was received before the connection was closed. The request must be read by the
+// deadline; zero means no deadline. listener.mu is held.
 func (c *clientConn) cancelEviction(deadline time.Time) {
 	if c.isEvicted {
 		c.isEvicted = false
--- a/internal/frontend/listener.go
+++ b/internal/frontend/listener.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// drainPollInterval is the time between two checks of a shutdown for connections that have become idle. It is far shorter than the
-// grace period that a shutdown has left when the checks begin.
+// drainPollInterval is the time between two checks, during a shutdown, for connections that have become idle. It is far shorter than
+// the part of the grace period that remains when Listener.Shutdown is called.
 const drainPollInterval = 10 * time.Millisecond
 
 // Listener tracks the connections of clients and evicts those without an open request: one at a time if there are too many, and all of
@@ -91,8 +91,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.maxConnections = maxConnections
-	for evictingBefore := -1; evictingBefore != l.evictingCount; {
-		evictingBefore = l.evictingCount
+	for evictingCountBefore := -1; evictingCountBefore != l.evictingCount; {
+		evictingCountBefore = l.evictingCount
 		l.evictIfOverLimit()
 	}
 }
--- a/internal/frontend/proxy_test.go
+++ b/internal/frontend/proxy_test.go
@@ -34,7 +34,7 @@
 // proxyOptions are the options of a testProxy.
 type proxyOptions struct {
 	canCancel  bool             // the balancer may cancel attempts
-	bodyMemory *body.MemoryPool // memory for bodies; nil: all bodies are buffered
+	bodyMemory *body.MemoryPool // memory for bodies; nil turns streaming off, so that all bodies are buffered
 	beforeDial func()           // called before each dial of an endpoint, if not nil
 
 	configure      func(*Options) // changes the options of the Server, if not nil
--- a/internal/frontend/rejection.go
+++ b/internal/frontend/rejection.go
@@ -29,11 +29,11 @@
 	return &rejection{status: status, err: fmt.Errorf(format, args...)}
 }
 
-// newShedRejection returns a rejection with status 503, which promises that the request was not executed, and a Retry-After.
+// newShedRejection returns a rejection with a Retry-After header and status 503, which promises that the request was not executed.
 func newShedRejection(reason string) *rejection {
-	shed := newRejection(statusShed, "%s", reason)
-	shed.retryAfter = shedRetryAfter
-	return shed
+	rejected := newRejection(statusShed, "%s", reason)
+	rejected.retryAfter = shedRetryAfter
+	return rejected
 }
 
 // memoryRejection returns the rejection of a request for whose body no memory could be reserved because of err.
@@ -79,9 +79,9 @@
 func (s *Server) rejectForLackOfMemory(w http.ResponseWriter, r *http.Request, rejected *rejection) {
 	routes := s.routes.acquire()
 	defer routes.release()
-	request, invalid := s.parseRequest(routes, r, true)
-	if invalid != nil {
-		s.rejectInvalid(w, invalid)
+	request, parseRejection := s.parseRequest(routes, r, true)
+	if parseRejection != nil {
+		s.rejectInvalid(w, parseRejection)
 		return
 	}
 	request.reject(w, rejected)
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -29,7 +29,8 @@
 	timeout time.Duration // how long the client waits for the response
 }
 
-// parseRequest checks and routes a request and creates its call, or returns the rejection of the request.
+// parseRequest checks and routes a request. It returns the routed request, with the eventloop.Call to submit to its pool, or else the
+// rejection of the request.
 func (s *Server) parseRequest(routes *RouteConfig, r *http.Request, hasBody bool) (*routedRequest, *rejection) {
 	target, rejected := s.resolveTarget(routes, r)
 	if rejected != nil {
@@ -126,20 +127,20 @@
 	return values[0], nil
 }
 
-// deadlineFrom returns the time by which the response to a request must be written if the request's timeout began at start.
+// deadlineFrom returns the time by which the response to a request must be written. The request's timeout counts from start.
 func (s *Server) deadlineFrom(request *routedRequest, start time.Time) time.Time {
 	return s.capAtShutdown(start.Add(request.timeout - deadlineMargin))
 }
 
-// setDeadline sets the deadline of a request's call if the request's timeout began at start.
+// setDeadline sets the deadline of a request's eventloop.Call. The request's timeout counts from start.
 func (s *Server) setDeadline(request *routedRequest, start time.Time) {
 	request.call.Deadline = request.target.Pool.At(s.deadlineFrom(request, start))
 }
 
 // capAtShutdown returns the earlier of a deadline and the shutdown deadline.
 func (s *Server) capAtShutdown(deadline time.Time) time.Time {
-	if shutdown := s.shutdownDeadline.Load(); shutdown != nil && shutdown.Before(deadline) {
-		return *shutdown
+	if shutdownDeadline := s.shutdownDeadline.Load(); shutdownDeadline != nil && shutdownDeadline.Before(deadline) {
+		return *shutdownDeadline
 	}
 	return deadline
 }
--- a/internal/frontend/streaming.go
+++ b/internal/frontend/streaming.go
@@ -21,8 +21,8 @@
 // unknown length are streamed. With Expect: 100-continue bodies of any length are streamed, since the endpoint decides whether
 // the client should send them.
 func (s *Server) isStreaming(r *http.Request) bool {
-	isLong := r.ContentLength < 0 || r.ContentLength > body.BufferSize
-	return s.options.BodyMemory != nil && r.URL.Path != healthPath && (isLong || r.ContentLength > 0 && expectsContinue(r))
+	isLongOrUnknown := r.ContentLength < 0 || r.ContentLength > body.BufferSize
+	return s.options.BodyMemory != nil && r.URL.Path != healthPath && (isLongOrUnknown || r.ContentLength > 0 && expectsContinue(r))
 }
 
 func expectsContinue(r *http.Request) bool {
@@ -55,8 +55,8 @@
 	w.upload = upload
 	defer func() {
 		if w.wroteHeader && !upload.IsComplete() {
-			// The client must get the response before the rest of the body is read. Without a response there is nothing to flush:
-			// net/http would write an empty response.
+			// The client must get the response before the rest of the body is read. If no response was written, Flush must not be
+			// called, since it would make net/http write an empty response.
 			_ = controller.Flush()
 		}
 		upload.Close(maxLingerTime, maxLingerBytes)
@@ -70,9 +70,9 @@
 	}
 	if isComplete && upload.Trailer() == nil {
 		request.call.Message.Body = bytes.Clone(upload.Prefix())
-		s.setDeadline(request, deadlineStart(request, arrived))
+		s.setDeadline(request, timeoutStart(request, arrived))
 	} else {
-		s.attachUpload(request, upload, deadlineStart(request, arrived))
+		s.attachUpload(request, upload, timeoutStart(request, arrived))
 	}
 	s.dispatch(w, r, request)
 }
@@ -109,9 +109,9 @@
 	s.rejectInvalid(w, bodyRejection(err))
 }
 
-// deadlineStart returns the time at which the timeout of a request with a streaming body begins: the request's arrival if the deadline
+// timeoutStart returns the time at which the timeout of a request with a streaming body begins: the request's arrival if the deadline
 // covers streaming bodies, and otherwise the current time, at which the beginning of the body has been received.
-func deadlineStart(request *routedRequest, arrived time.Time) time.Time {
+func timeoutStart(request *routedRequest, arrived time.Time) time.Time {
 	if request.target.Class.DeadlineCoversStreams {
 		return arrived
 	}
--- a/internal/frontend/wire_test.go
+++ b/internal/frontend/wire_test.go
@@ -29,7 +29,7 @@
 	request           string           // bytes that the client sends
 	afterContinue     string           // bytes that the client sends after a response with status 100
 	response          string           // bytes that the endpoint sends; "" means status 200 with the body "hi"
-	bodyMemory        *body.MemoryPool // memory for bodies; nil: all bodies are buffered
+	bodyMemory        *body.MemoryPool // memory for bodies; nil turns streaming off, so that all bodies are buffered
 	configure         func(*Options)   // changes the options that startProxy sets, if not nil
 	configureClass    func(*Class)     // changes each class that startProxy sets, if not nil
 	closesConnections bool             // whether every response closes its connection
--- a/internal/route/compile.go
+++ b/internal/route/compile.go
@@ -108,8 +108,8 @@
 	if c.pattern, err = regexp.Compile(`\A(?:` + c.Path + `)\z`); err != nil {
 		return fmt.Errorf("pattern: %w", err)
 	}
-	// LiteralPrefix returns nothing for an anchored expression, so the prefix is taken from the pattern without anchors. A
-	// pattern such as ")(" compiles only inside the group; it gets no prefix.
+	// regexp's LiteralPrefix returns nothing for an anchored expression, so the prefix is taken from the pattern without anchors. A
+	// pattern such as ")(" compiles only inside the group that stands between the anchors, so it gets no prefix.
 	if unanchored, err := regexp.Compile(c.Path); err == nil {
 		c.literalPrefix, _ = unanchored.LiteralPrefix()
 	}
--- a/internal/route/normalize.go
+++ b/internal/route/normalize.go
@@ -30,7 +30,7 @@
 	if path == "" || path[0] != '/' {
 		return "", "", ErrNotAbsolutePath
 	}
-	if !isQuery(query) {
+	if !isValidQuery(query) {
 		return "", "", ErrUnencodedCharacter
 	}
 	isNormalForm, err := isNormal(path)
@@ -53,8 +53,8 @@
 	return strings.ToLower(strings.TrimSuffix(strings.Trim(header, "[]"), "."))
 }
 
-// isQuery reports whether a query consists of visible ASCII characters other than "#", which begins a fragment.
-func isQuery(query string) bool {
+// isValidQuery reports whether a query consists of visible ASCII characters other than "#", which begins a fragment.
+func isValidQuery(query string) bool {
 	for i := range len(query) {
 		if c := query[i]; c <= ' ' || c > '~' || c == '#' {
 			return false
@@ -112,7 +112,7 @@
 		}
 		switch c := byte(high<<4 | low); {
 		case c == '/' || c == '\\' || c == 0 || c == ';' || c == '%':
-			return "", ErrInvalidEscape // a server that decodes the path again would read a different path
+			return "", ErrInvalidEscape // a server that decodes one of these characters would read a different path
 		case isUnreserved(c):
 			b.WriteByte(c)
 		default:
--- a/internal/route/normalize_test.go
+++ b/internal/route/normalize_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func FuzzNormalize(f *testing.F) {
+func FuzzNormalizeReturnsNormalFormOrRejects(f *testing.F) {
 	for _, seed := range []string{"/", "/a/../b?x", "/%2e%2E/a", "/a%2fb", "//", "/.", "/a/.%2e/"} {
 		f.Add(seed)
 	}
@@ -54,7 +54,7 @@
 	})
 }
 
-func TestHostStripsPortBracketsAndFinalDot(t *testing.T) {
+func TestNormalizeHostStripsPortBracketsAndFinalDot(t *testing.T) {
 	for header, want := range map[string]string{"A.Example:80": "a.example", "a.example.": "a.example", "a.example.:8": "a.example", "[::1]:80": "::1",
 		"[::1]": "::1", "": "", "10.0.0.1": "10.0.0.1"} {
 		t.Run(header, func(t *testing.T) {
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -49,7 +49,7 @@
 	Query   []Condition // conditions on query parameters, all of which must hold
 }
 
-// Request holds the parts of a request that rules are matched against. Host must be as the function Host returns it, Path and
+// Request holds the parts of a request that rules are matched against. Host must be as NormalizeHost returns it, Path and
 // RawQuery as Normalize returns them. The keys of Header must be canonical.
 type Request struct {
 	Host, Path, RawQuery, Method string
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -96,9 +96,10 @@
 	return bestRule
 }
 
-// firstMatchBySegments is firstMatch for the rules below a node of the segment tree. path is the part of the request's path that
-// is not matched yet: it begins with the slash before the next segment, or is empty at the end. Each node has one parent and so
-// is visited at most once: the work is bounded by the size of the tree, whatever the path is.
+// firstMatchBySegments returns the first rule at or below a node of the segment tree that matches the request if it comes before
+// bestRule, and bestRule otherwise. path is the part of the request's path that is not matched yet: it begins with the slash before
+// the next segment, or is empty at the end. Each node has one parent and so is visited at most once: the work is bounded by the size
+// of the tree, whatever the path is.
 func (t *Table) firstMatchBySegments(n *segmentNode, path string, r *Request, bestRule int) int {
 	bestRule = t.firstMatch(n.trailingWildcardRules, r, bestRule)
 	if path == "" {
@@ -131,8 +132,9 @@
 	return bestRule
 }
 
-// firstPatternMatch is firstMatch for rules of kind Pattern, whose paths are not known to match. The regular expression is
-// matched last, since it costs more than all other parts.
+// firstPatternMatch returns the first rule of a list of rules of kind Pattern that matches the request if it comes before bestRule,
+// and bestRule otherwise. The hosts of these rules are known to match, but not their paths. The regular expression is matched last,
+// since it costs more than all other parts.
 func (t *Table) firstPatternMatch(rules []int, r *Request, bestRule int) int {
 	for _, i := range rules {
 		if i >= bestRule {
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -89,7 +89,7 @@
 	})
 }
 
-func FuzzMatch(f *testing.F) {
+func FuzzMatchReturnsFirstRuleWithoutMismatch(f *testing.F) {
 	f.Add("/a/*/c/**", "/a/b/c", "x=1", `/a.*`)
 	f.Fuzz(func(t *testing.T, segments, target, query, pattern string) {
 		table, err := New([]Rule{{Kind: Segments, Path: segments}, {Kind: Prefix, Path: segments}, {Kind: Pattern, Path: pattern}, {Kind: Exact, Path: target},
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -43,13 +43,13 @@
 // and Attempt returns when the response's Stream is closed.
 func (cl *Client) Attempt(
 	ctx context.Context, id string, req *Request, hooks AttemptHooks,
-) (result balance.Result, reused bool, response Response) {
+) (result balance.Result, usedIdle bool, response Response) {
 	c, encoded, err := cl.acquire(ctx, id, req)
 	// While acquire dialed or waited for the reuse delay, the endpoint may have stopped accepting requests, the deadline may have
 	// passed, and the request may have become unwanted.
 	switch {
 	case err != nil:
-	case !cl.isAccepting(id, c):
+	case !cl.endpointAccepts(id, c):
 		cl.discard(c)
 		err = errNotAccepting
 	case isPastDeadline(ctx):
@@ -62,7 +62,7 @@
 	if err != nil {
 		return unlessCanceled(ctx, nothingWrittenResult(err)), false, Response{}
 	}
-	reused = !c.idleSince.IsZero()
+	usedIdle = !c.idleSince.IsZero()
 	x := &exchange{client: cl, conn: c, request: req, hooks: hooks, detachContext: context.AfterFunc(ctx, func() { c.Close() })}
 	o := x.run(ctx, encoded)
 	if o.isReusable && (x.isHandedOver.Load() || x.detachContext()) {
@@ -70,7 +70,7 @@
 	} else {
 		cl.discard(c)
 	}
-	return o.result, reused, o.response
+	return o.result, usedIdle, o.response
 }
 
 // isPastDeadline reports whether an attempt's deadline has passed. It compares the deadline with the clock, since ctx may not have
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -182,7 +182,7 @@
 
 // Attempt must report a reset and not send the request again. When a reused connection breaks, net/http's Transport would resend a GET
 // request, or one with an Idempotency-Key.
-func TestResetOfReusedConnectionIsNotResent(t *testing.T) {
+func TestRequestIsNotResentAfterResetOfReusedConnection(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		t.Run(method, func(t *testing.T) {
 			e := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, n int) bool {
@@ -199,9 +199,9 @@
 			if r := attempt(t, client, "a", req); r != balance.OK {
 				t.Fatalf("first attempt: result %v, want %v", r, balance.OK)
 			}
-			r, reused, _ := client.Attempt(newTestContext(t, testpeer.Timeout), "a", req, AttemptHooks{})
-			if r != balance.Reset || !reused {
-				t.Errorf("second attempt: result %v, reused %v, want %v, true", r, reused, balance.Reset)
+			r, usedIdle, _ := client.Attempt(newTestContext(t, testpeer.Timeout), "a", req, AttemptHooks{})
+			if r != balance.Reset || !usedIdle {
+				t.Errorf("second attempt: result %v, on an idle connection %v, want %v, true", r, usedIdle, balance.Reset)
 			}
 			if n, c := e.Requests.Load(), e.Connections.Load(); n != 2 || c != 1 {
 				t.Errorf("the endpoint received %d requests on %d connections, want 2 on 1", n, c)
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -89,7 +89,7 @@
 	}
 	delay := reuseDelay
 	if o.DialInsteadOfWaiting {
-		delay = reuseDelayWhenDialing
+		delay = shortReuseDelay
 	}
 	return &Client{
 		maxIdleAge:  time.Duration(float64(o.IdleTimeout) * idleTimeoutFraction),
@@ -125,8 +125,8 @@
 }
 
 // SetEndpoint sets an endpoint's address and whether it accepts requests. It closes the endpoint's idle connections if the
-// address has changed or the endpoint does not accept requests. An attempt that uses the old address, or an endpoint that
-// does not accept requests, ends as balance.NotSent if it has not written anything yet, and continues otherwise.
+// address has changed or the endpoint does not accept requests. An attempt at the old address, or at an endpoint that does not
+// accept requests, ends as balance.NotSent if it has not written anything yet, and continues otherwise.
 func (cl *Client) SetEndpoint(id, addr string, acceptsRequests bool) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -144,17 +144,17 @@
 // SetEjected ejects an endpoint or ends its ejection; the endpoint need not be known. An ejected endpoint gets no requests, even
 // if SetEndpoint says that it accepts them, and its idle connections are closed. An attempt at the endpoint ends as
 // balance.NotSent if it has not written anything yet, and continues otherwise.
-func (cl *Client) SetEjected(id string, ejected bool) {
+func (cl *Client) SetEjected(id string, isEjected bool) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	if delete(cl.ejected, id); ejected {
+	if delete(cl.ejected, id); isEjected {
 		cl.ejected[id] = true
 	}
 	p := cl.pools[id]
 	if p == nil {
 		return
 	}
-	if p.acceptsRequests = p.isListedAsAccepting && !ejected; ejected {
+	if p.acceptsRequests = p.isListedAsAccepting && !isEjected; isEjected {
 		cl.closeIdle(p)
 	}
 }
--- a/internal/upstream/connection_pool.go
+++ b/internal/upstream/connection_pool.go
@@ -9,12 +9,13 @@
 // Minimum times between a response and the next request on the same connection. An endpoint may send a response twice, and nothing in
 // the duplicate shows that it is not the response to the next request.
 const (
-	// reuseDelay is the delay without Options.DialInsteadOfWaiting. The platform's endpoints sent 286 duplicates 0.7 to 5.7 ms after
-	// the first copy.
+	// reuseDelay is the minimum time between a response and the next request on its connection, if Options.DialInsteadOfWaiting is not
+	// set. The platform's endpoints sent 286 duplicates of responses, 0.7 to 5.7 ms after the first copy.
 	reuseDelay = 10 * time.Millisecond
-	// reuseDelayWhenDialing is the delay with Options.DialInsteadOfWaiting. Endpoints of pools with this option were never
-	// seen to send duplicates, and a delay of 10 ms costs a fifth of the request rate at 16 and 64 clients.
-	reuseDelayWhenDialing = 2 * time.Millisecond
+	// shortReuseDelay is the minimum time between a response and the next request on its connection, if Options.DialInsteadOfWaiting is
+	// set. Endpoints of pools with this option were never seen to send duplicates of responses, and a delay of 10 ms costs a fifth of
+	// the request rate at 16 and 64 clients.
+	shortReuseDelay = 2 * time.Millisecond
 )
 
 // connectionPool has the state and the idle connections of one endpoint. It is guarded by Client.mu.
@@ -62,10 +63,10 @@
 	conn    *conn  // idle connection; nil if a new connection may be dialed
 }
 
-// reserve takes an idle connection from the endpoint's pool: of those whose reuse delay has passed, the most recently used one.
-// If there is none, it takes the connection that has been idle longest or, if the pool is empty or Options.DialInsteadOfWaiting
-// demands it, permits a new connection and counts it as open. If that would exceed Options.MaxConnections, it first closes an idle
-// connection to any endpoint.
+// reserve takes an idle connection from the endpoint's pool, or permits a new connection and counts it as open. It prefers the most
+// recently used idle connection whose reuse delay has passed. If no reuse delay has passed yet, it takes the connection that has been
+// idle longest or, if Options.DialInsteadOfWaiting is set and fewer than Options.MaxConnections are open, permits a new one. If the
+// pool is empty, it permits a new connection; if MaxConnections are open, it first closes an idle connection to any endpoint.
 func (cl *Client) reserve(id string) (reservation, error) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -172,8 +173,8 @@
 	return time.Since(c.idleSince) < cl.maxIdleAge && c.hasNoInput()
 }
 
-// isAccepting reports whether the endpoint still accepts requests at the address of the connection.
-func (cl *Client) isAccepting(id string, c *conn) bool {
+// endpointAccepts reports whether the endpoint still accepts requests at the address of the connection.
+func (cl *Client) endpointAccepts(id string, c *conn) bool {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	p := cl.pools[id]
--- a/internal/upstream/connection_pool_test.go
+++ b/internal/upstream/connection_pool_test.go
@@ -116,7 +116,7 @@
 // A duplicate response may arrive some milliseconds after the first copy. So that it is not read as the next response, the next
 // request on the connection must not be written before then.
 func TestConnectionIsNotReusedBeforeReuseDelay(t *testing.T) {
-	const maxDuplicateDelay = 6 * time.Millisecond // rounded-up delay of the latest duplicate that was observed, see reuseDelay
+	const maxDuplicateDelay = 6 * time.Millisecond // longest observed time from a response to its duplicate, rounded up (see reuseDelay)
 	var firstRequestAt, lastRequestAt time.Time
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, n int) bool {
 		if lastRequestAt = time.Now(); n == 1 {
@@ -160,7 +160,7 @@
 	}
 }
 
-func TestHasIdleDetectsClosedConnection(t *testing.T) {
+func TestHasIdleConnectionDetectsClosedConnection(t *testing.T) {
 	release := make(chan bool)
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, _ int) bool {
 		io.WriteString(nc, testpeer.ResponseOK)
--- a/internal/upstream/fuzz_test.go
+++ b/internal/upstream/fuzz_test.go
@@ -49,11 +49,11 @@
 
 // exchangeResult is the result of an exchange with an endpoint that writes a fixed text.
 type exchangeResult struct {
-	status     int
-	body       []byte
-	isOK       bool // whether the result is balance.OK
-	isReusable bool // whether the connection may carry another exchange
-	unread     int  // number of bytes of the text that were not consumed
+	status      int
+	body        []byte
+	isOK        bool // whether the result is balance.OK
+	isReusable  bool // whether the connection may carry another exchange
+	unreadBytes int  // number of bytes of the text that were not consumed
 }
 
 // exchangeWith makes an exchange with an endpoint that writes text, regardless of the request it receives.
@@ -83,7 +83,7 @@
 	} else {
 		got.status, got.body = o.response.Status, o.response.Body
 	}
-	got.isOK, got.isReusable, got.unread = o.result == balance.OK, o.isReusable, s.in.Len()+c.reader.Buffered()
+	got.isOK, got.isReusable, got.unreadBytes = o.result == balance.OK, o.isReusable, s.in.Len()+c.reader.Buffered()
 	return got
 }
 
@@ -147,8 +147,8 @@
 			t.Fatalf("read status %d with %d bytes, net/http: status %d with %d bytes, error %v",
 				got.status, len(got.body), resp.StatusCode, len(want), err)
 		}
-		if rest := in.Len() + referenceReader.Buffered(); got.isReusable && (rest != 0 || got.unread != 0) {
-			t.Fatalf("the connection is reusable with %d bytes unread (net/http: %d), want 0", got.unread, rest)
+		if rest := in.Len() + referenceReader.Buffered(); got.isReusable && (rest != 0 || got.unreadBytes != 0) {
+			t.Fatalf("the connection is reusable with %d bytes unread (net/http: %d), want 0", got.unreadBytes, rest)
 		}
 	})
 }
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -18,7 +18,7 @@
 	// minBufferedResponseTimeout is the minimum of Options.BufferedResponseTimeout. It is also how long at most a streaming response is
 	// held back before it is handed over, and how long a response is awaited after a failed write.
 	minBufferedResponseTimeout = 500 * time.Millisecond
-	maxInterimResponses        = 8 // number of 1xx responses at which an attempt fails
+	maxResponseHeads           = 8 // maximum number of heads that an attempt reads, of interim responses (1xx) and the final response together
 
 	declinedHeader = "Srv-Declined" // response header whose value 1 says that the endpoint is at its capacity and has not run the request
 )
@@ -40,7 +40,7 @@
 func (x *exchange) readFinalHead(onInterim func(status int)) (*http.Response, error) {
 	c := x.conn
 	c.byteLimit.N = maxTotalHeadBytes + maxBufferedBodyBytes
-	for range maxInterimResponses {
+	for range maxResponseHeads {
 		if _, err := c.reader.Peek(1); err != nil {
 			return nil, err
 		}
@@ -61,7 +61,7 @@
 			return nil, err
 		}
 	}
-	return nil, fmt.Errorf("%w: more than %d interim responses", errMalformed, maxInterimResponses-1)
+	return nil, fmt.Errorf("%w: more than %d interim responses", errMalformed, maxResponseHeads-1)
 }
 
 // bufferedResponseTimeout returns the maximum time from the first byte of a buffered response to its last.
--- a/internal/upstream/response_head.go
+++ b/internal/upstream/response_head.go
@@ -63,7 +63,7 @@
 // checkHeadLines checks that a head follows HTTP/1.1 strictly: lines end with CR LF and are not folded, and the body is framed in
 // one way only. A head that can be interpreted in two ways may be corrupt or an attempt at response smuggling.
 func checkHeadLines(head []byte) error {
-	framingFields := 0
+	framingFieldCount := 0
 	for i, line := range bytes.Split(head, []byte("\r\n")) {
 		name, _, hasColon := bytes.Cut(line, []byte(":"))
 		switch {
@@ -76,10 +76,10 @@
 		case !hasColon || bytes.ContainsAny(name, " \t"):
 			return fmt.Errorf("%w: line %d of the head is not a header field", errMalformed, i+1)
 		case bytes.EqualFold(name, []byte("Content-Length")), bytes.EqualFold(name, []byte("Transfer-Encoding")):
-			framingFields++
+			framingFieldCount++
 		}
 	}
-	if framingFields > 1 {
+	if framingFieldCount > 1 {
 		return fmt.Errorf("%w: body is framed in two ways", errMalformed)
 	}
 	return nil
--- a/internal/upstream/response_stream.go
+++ b/internal/upstream/response_stream.go
@@ -32,14 +32,14 @@
 	closeErr  chan error  // receives the argument of the only call of Close
 	isClaimed atomic.Bool // whether the stream was handed over to AttemptHooks.ResponseStarted, or read completely before the handover
 
-	mu        sync.Mutex
-	readEnded sync.Cond // signaled when a read from the endpoint has ended
-	buffer    []byte
-	filled    int   // number of bytes of buffer that hold data
-	consumed  int   // number of bytes of buffer that Next has returned
-	isReading bool  // whether a read from the endpoint is in progress
-	received  int64 // number of bytes of the body that were read or spliced
-	err       error // error of the last read; no read follows once it is set
+	mu            sync.Mutex
+	readEnded     sync.Cond // signaled when a read from the endpoint has ended
+	buffer        []byte
+	filledBytes   int   // number of bytes of buffer that hold data
+	consumedBytes int   // number of bytes of buffer that Next has returned
+	isReading     bool  // whether a read from the endpoint is in progress
+	receivedBytes int64 // number of bytes of the body that were read or spliced
+	err           error // error of the last read; no read follows once it is set
 }
 
 // isStreaming reports whether a response's body streams. A response that is not acceptable is always buffered, since the request
@@ -65,8 +65,8 @@
 	}
 	defer release()
 	x.conn.byteLimit.N = math.MaxInt64 // Stream.maxBytes limits a streaming body instead
-	// resp.Body must not be closed: closing it reads to the body's end, but it does not count the bytes that Splice has taken
-	// from the connection, and would wait for more.
+	// resp.Body must not be closed: its Close method would read to the body's end without counting the bytes that Splice has taken
+	// from the connection, and so would wait for more.
 	s := x.newStream(resp, buffer)
 	handedOver := make(chan bool, 1)
 	handOver := func() {
@@ -83,7 +83,7 @@
 			if err := x.conn.SetReadDeadline(time.Time{}); !errors.Is(s.err, io.EOF) || err != nil {
 				return outcome{result: x.conn.failedResponseResult(ctx, s.err)}
 			}
-			return x.classify(resp, bytes.Clone(s.buffer[:s.filled]))
+			return x.classify(resp, bytes.Clone(s.buffer[:s.filledBytes]))
 		}
 	}
 	handOver()
@@ -141,7 +141,7 @@
 func (s *Stream) prefetch() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for s.filled < len(s.buffer) && s.err == nil && !s.isClaimed.Load() {
+	for s.filledBytes < len(s.buffer) && s.err == nil && !s.isClaimed.Load() {
 		// This deadline replaces the one that readFinalHead has set.
 		_ = s.conn.SetReadDeadline(time.Now().Add(s.meter.MaxWait()))
 		s.readOnce()
@@ -159,9 +159,9 @@
 // return bytes that were read before.
 func (s *Stream) readOnce() {
 	s.isReading = true
-	to := s.buffer[s.filled:]
+	to := s.buffer[s.filledBytes:]
 	if s.Length >= 0 {
-		to = to[:min(int64(len(to)), s.Length-s.received)]
+		to = to[:min(int64(len(to)), s.Length-s.receivedBytes)]
 	}
 	s.mu.Unlock()
 	startedAt := time.Now()
@@ -169,10 +169,10 @@
 	waited := time.Since(startedAt)
 	s.mu.Lock()
 	s.meter.Record(n, waited)
-	s.filled += n
-	s.received += int64(n)
+	s.filledBytes += n
+	s.receivedBytes += int64(n)
 	s.err = err
-	if s.maxBytes > 0 && s.received > s.maxBytes {
+	if s.maxBytes > 0 && s.receivedBytes > s.maxBytes {
 		s.err = fmt.Errorf("%w: body of more than %d bytes is too long", errMalformed, s.maxBytes)
 	}
 	s.isReading = false
@@ -185,21 +185,21 @@
 func (s *Stream) Next() ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for s.consumed == s.filled && s.err == nil {
+	for s.consumedBytes == s.filledBytes && s.err == nil {
 		_ = s.conn.SetReadDeadline(time.Now().Add(s.meter.MaxWait())) // the new deadline also applies to a read that is in progress
 		if s.isReading {
 			s.readEnded.Wait()
 			continue
 		}
-		s.consumed, s.filled = 0, 0
-		if s.Length >= 0 && s.received == s.Length { // net/http's reader does not count the bytes that were spliced
+		s.consumedBytes, s.filledBytes = 0, 0
+		if s.Length >= 0 && s.receivedBytes == s.Length { // net/http's reader does not count the bytes that were spliced
 			s.err = io.EOF
 			break
 		}
 		s.readOnce()
 	}
-	if part := s.buffer[s.consumed:s.filled]; len(part) > 0 {
-		s.consumed = s.filled
+	if part := s.buffer[s.consumedBytes:s.filledBytes]; len(part) > 0 {
+		s.consumedBytes = s.filledBytes
 		return part, nil
 	}
 	var timeout net.Error
--- a/internal/upstream/splice.go
+++ b/internal/upstream/splice.go
@@ -34,10 +34,10 @@
 			return 0, err
 		}
 	}
-	size := min(s.Length-s.received, maxSpliceBytes)
+	size := min(s.Length-s.receivedBytes, maxSpliceBytes)
 	n, err = to.ReadFrom(&io.LimitedReader{R: endpointConn, N: size})
 	duration := time.Since(startedAt)
-	s.received += n
+	s.receivedBytes += n
 	switch {
 	case err == nil && n < size:
 		s.err = io.ErrUnexpectedEOF
@@ -57,6 +57,6 @@
 
 // canSplice reports whether no part of the body is buffered and enough of it is left to splice. s.mu is held.
 func (s *Stream) canSplice() bool {
-	return s.Length >= 0 && s.Length-s.received >= minSpliceBytes && !s.isReading && s.consumed >= s.filled && s.err == nil &&
+	return s.Length >= 0 && s.Length-s.receivedBytes >= minSpliceBytes && !s.isReading && s.consumedBytes >= s.filledBytes && s.err == nil &&
 		s.conn.reader.Buffered() == 0 && s.maxBytes <= 0
 }
