--- a/internal/cluster/consensus/bootstrap_test.go
+++ b/internal/cluster/consensus/bootstrap_test.go
@@ -53,13 +53,13 @@
 	return vote
 }
 
-// hasMajority reports whether a majority of the voters has created logs with the same disk ids.
+// hasMajority reports whether a majority of the voters has created logs and reports the same BootstrapVote.DiskIDs.
 func (r *bootstrapCluster) hasMajority() bool {
-	counts := map[string]int{}
+	voterCounts := map[string]int{}
 	for _, disk := range r.disks {
 		if disk.vote.HasBegun {
 			diskIDsText := fmt.Sprint(disk.vote.DiskIDs)
-			if counts[diskIDsText]++; counts[diskIDsText] > len(initialVoterNames)/2 {
+			if voterCounts[diskIDsText]++; voterCounts[diskIDsText] > len(initialVoterNames)/2 {
 				return true
 			}
 		}
@@ -67,9 +67,9 @@
 	return false
 }
 
-// Votes arrive and disks are lost in random order. Once a majority has created logs with the same disk ids, a voter that
-// loses its disk must not create a log again. A simulation ends when a majority has lost its disks: the remaining voters
-// can't know any more which of the others had created a log.
+// Votes arrive and disks are lost in random order. Once a majority has created logs and reports the same disk ids of the
+// initial voters, a voter that loses its disk must not create a log again. A simulation ends when a majority has lost its
+// disks: the remaining voters can't know any more which of the others had created a log.
 func TestBootstrapCreatesNoLogAfterDiskLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, hadMajority := newBootstrapCluster(), false
--- a/internal/cluster/consensus/doc.go
+++ b/internal/cluster/consensus/doc.go
@@ -13,8 +13,8 @@
 //
 // # Guarantee
 //
-// A daemon acts on a version only under a lease, whose duration it counts by its own clock from before it sent the
-// request. The leader grants a lease only if a majority confirms, after the request has arrived, that it still leads
+// A daemon acts on a version only under a lease, whose duration it counts by its own clock from before it requested
+// the lease. The leader grants a lease only if a majority confirms, after the request has arrived, that it still leads
 // (raft's ReadIndex). While a version is pending, leases are short. A command in the log activates the pending version
 // as soon as every daemon either has the version's documents and holds short leases only, or certainly holds no lease
 // any more; a new leader first waits for as long as leases of its predecessors may last. Hence, once some daemon acts
--- a/internal/cluster/consensus/document.go
+++ b/internal/cluster/consensus/document.go
@@ -11,7 +11,7 @@
 // and the retained earlier ones: encoded as JSON that is under 7 MiB, which fits into one message of the transport.
 const (
 	MaxDocumentBytes = 1 << 20                  // greatest size of a document's body in bytes
-	MaxTotalBytes    = MaxDocumentBytes * 5 / 4 // greatest total size of the bodies of one version's documents in bytes
+	MaxVersionBytes  = MaxDocumentBytes * 5 / 4 // greatest total size of the bodies of one version's documents in bytes
 	MaxDocuments     = 1000                     // greatest number of documents in one version
 )
 
--- a/internal/cluster/consensus/document_change.go
+++ b/internal/cluster/consensus/document_change.go
@@ -10,7 +10,7 @@
 
 // Bounds of the documents and history entries that the State retains of earlier versions.
 const (
-	maxRetainedBytes  = 1 << 20 // greatest total size, in bytes, of the bodies of documents that were replaced or removed
+	maxRetainedBytes  = 1 << 20 // greatest total size, in bytes, of the retained bodies of documents that were replaced or removed
 	maxHistoryEntries = 1000    // greatest number of entries in the history, and of retained documents
 )
 
@@ -77,21 +77,21 @@
 	return name, put, nil
 }
 
-// fitsLimits reports whether the documents stay within MaxDocumentBytes, MaxTotalBytes and MaxDocuments if put is applied.
+// fitsLimits reports whether the documents stay within MaxDocumentBytes, MaxVersionBytes and MaxDocuments if put is applied.
 func (s *State) fitsLimits(put *DocumentPut) bool {
 	replaced, exists := s.Docs[put.Name]
 	return len(put.Body) <= MaxDocumentBytes &&
 		(exists || len(s.Docs) < MaxDocuments) &&
-		totalBodyBytes(s.Docs)-len(replaced.Body)+len(put.Body) <= MaxTotalBytes
+		totalBodyBytes(s.Docs)-len(replaced.Body)+len(put.Body) <= MaxVersionBytes
 }
 
 // retainDocument adds a document that was replaced or removed to RetainedDocs, and drops the oldest retained documents
 // beyond maxRetainedBytes or maxHistoryEntries.
 func (s *State) retainDocument(document Document) {
 	retained := append(slices.Clone(s.RetainedDocs), document)
-	bytes := 0
+	retainedBytes := 0
 	for i, d := range slices.Backward(retained) {
-		if bytes += len(d.Body); bytes > maxRetainedBytes || len(retained)-i > maxHistoryEntries {
+		if retainedBytes += len(d.Body); retainedBytes > maxRetainedBytes || len(retained)-i > maxHistoryEntries {
 			retained = retained[i+1:]
 			break
 		}
--- a/internal/cluster/consensus/interleaving_test.go
+++ b/internal/cluster/consensus/interleaving_test.go
@@ -23,7 +23,7 @@
 	hasSecondVersion bool             // whether stepPut has made version 2
 }
 
-// exploredLeaseConfig is the lease configuration of the explored cluster.
+// exploredLeaseConfig has leases of 4 s, or of 1 s while a version is pending, by clocks that gain or lose at most 10 %.
 var exploredLeaseConfig = LeaseConfig{Duration: 4 * time.Second, ShortDuration: time.Second, MaxClockDrift: 0.1}
 
 // localClock returns the time by a daemon's own clock: daemon 0's is the slowest allowed, daemon 1's the fastest.
@@ -141,9 +141,10 @@
 	return overlap
 }
 
-// explore does, for each order of depth steps, the steps in prefix and then the steps of the order on a new cluster. It
-// calls visit after each step, and returns the number of orders in which every step was possible.
-func explore(tb testing.TB, depth int, prefix []int, visit func(x *exploredCluster)) (orders int) {
+// explore tries every sequence that begins with prefix and continues with depth more steps. It does the steps of each
+// sequence on a new cluster and calls visit after each step. It returns the number of sequences in which every step was
+// possible.
+func explore(tb testing.TB, depth int, prefix []int, visit func(x *exploredCluster)) (orderCount int) {
 	tb.Helper()
 	x := newExploredCluster(tb)
 	for _, step := range prefix {
@@ -156,9 +157,9 @@
 		return 1
 	}
 	for step := range stepCount {
-		orders += explore(tb, depth-1, append(prefix[:len(prefix):len(prefix)], step), visit)
+		orderCount += explore(tb, depth-1, append(prefix[:len(prefix):len(prefix)], step), visit)
 	}
-	return orders
+	return orderCount
 }
 
 // In every order of 5 steps, no daemon acts on version 1 for longer than MaxOverlap after a daemon has acted on version
@@ -169,20 +170,20 @@
 	if steps, err := strconv.Atoi(os.Getenv("TULIPROCK_TEST_INTERLEAVING_STEPS")); err == nil {
 		depth = steps
 	}
-	longest := time.Duration(0)
-	visit := func(x *exploredCluster) { longest = max(longest, x.measureOverlap()) }
-	orders := explore(t, depth, nil, visit)
-	// Explore longer orders in which the overlap comes close to MaxOverlap. Each begins with stepPut (4), requests (0 and 1)
-	// and grants (2 and 3), after which both daemons have the documents of version 2 or need only a few more steps to get
-	// them.
+	longestOverlap := time.Duration(0)
+	visit := func(x *exploredCluster) { longestOverlap = max(longestOverlap, x.measureOverlap()) }
+	orderCount := explore(t, depth, nil, visit)
+	// Explore longer orders in which the overlap comes close to MaxOverlap. Each begins with stepPut (4) and some
+	// requests (0 or 1) and grants (2 or 3), after which both daemons have the documents of version 2 or need only a few more
+	// steps to get them.
 	for _, prefix := range [][]int{{4, 0, 2, 1, 3, 0, 2, 1, 3}, {4, 0, 2, 0, 2, 1, 3, 1}, {4, 0, 2, 0, 2, 1}} {
-		orders += explore(t, depth-1, prefix, visit)
+		orderCount += explore(t, depth-1, prefix, visit)
 	}
-	t.Logf("%d orders: the longest overlap is %v, allowed are %v", orders, longest, exploredLeaseConfig.MaxOverlap())
-	if longest > exploredLeaseConfig.MaxOverlap() {
-		t.Errorf("the longest overlap is %v, want at most %v", longest, exploredLeaseConfig.MaxOverlap())
+	t.Logf("%d orders: the longest overlap is %v, allowed are %v", orderCount, longestOverlap, exploredLeaseConfig.MaxOverlap())
+	if longestOverlap > exploredLeaseConfig.MaxOverlap() {
+		t.Errorf("the longest overlap is %v, want at most %v", longestOverlap, exploredLeaseConfig.MaxOverlap())
 	}
-	if longest == 0 {
+	if longestOverlap == 0 {
 		t.Error("no order has an overlap, want some: the orders have too few steps to show anything")
 	}
 }
@@ -193,9 +194,9 @@
 	originalConfig := exploredLeaseConfig
 	t.Cleanup(func() { exploredLeaseConfig = originalConfig })
 	exploredLeaseConfig.SkipActivationWait = true
-	longest := time.Duration(0)
-	explore(t, 5, []int{4, 0, 2}, func(x *exploredCluster) { longest = max(longest, x.measureOverlap()) })
-	if longest <= exploredLeaseConfig.MaxOverlap() {
-		t.Errorf("the longest overlap is %v, want more than %v", longest, exploredLeaseConfig.MaxOverlap())
+	longestOverlap := time.Duration(0)
+	explore(t, 5, []int{4, 0, 2}, func(x *exploredCluster) { longestOverlap = max(longestOverlap, x.measureOverlap()) })
+	if longestOverlap <= exploredLeaseConfig.MaxOverlap() {
+		t.Errorf("the longest overlap is %v, want more than %v", longestOverlap, exploredLeaseConfig.MaxOverlap())
 	}
 }
--- a/internal/cluster/consensus/lease_holder.go
+++ b/internal/cluster/consensus/lease_holder.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	requestsPerLease          = 4 // number of lease requests in LeaseConfig.ShortDuration, so that a lease stays valid even if some requests are lost
+	requestsPerShortestLease  = 4 // number of lease requests in the shorter of LeaseConfig.Duration and ShortDuration, so that a lease stays valid even if some requests are lost
 	activationIntervalDivisor = 4 // number by which the interval between requests is divided while a version is being activated
 )
 
@@ -57,7 +57,7 @@
 	return &LeaseHolder{
 		config:          config,
 		name:            name,
-		requestInterval: min(config.Duration, config.ShortDuration) / requestsPerLease,
+		requestInterval: min(config.Duration, config.ShortDuration) / requestsPerShortestLease,
 		leased:          LeasedVersion{Version: version, Docs: docs},
 		readyVersion:    version,
 		readyDocs:       docs,
@@ -116,7 +116,8 @@
 	h.leased.ExpiresAt, h.acceptedSeq = start+g.Duration, g.Seq
 }
 
-// offerForCheck has PendingCheck return a version, unless the daemon has the version's documents or has rejected it.
+// offerForCheck makes a version the one that PendingCheck returns, unless the daemon has the version's documents or has
+// rejected the version.
 func (h *LeaseHolder) offerForCheck(version uint64, docs map[string]Document) {
 	if docs != nil && version > h.readyVersion && version != h.rejectedVersion && version != h.offeredVersion {
 		h.offeredVersion, h.offeredDocs = version, docs
--- a/internal/cluster/consensus/lease_manager.go
+++ b/internal/cluster/consensus/lease_manager.go
@@ -20,7 +20,7 @@
 	daemons     map[string]*daemonLeases // daemons that may hold a lease, by name; Refresh drops those whose leases have expired
 
 	fullyActiveVersion uint64          // oldest version on which a daemon may still act, according to the latest Refresh; 0: not known
-	lagging            []LaggingDaemon // daemons that laggingDaemons returned to the latest Refresh, sorted by name
+	lagging            []LaggingDaemon // daemons that lagged at the latest Refresh, sorted by name
 }
 
 // daemonLeases has a daemon's latest request and the grants with which the daemon may hold a lease.
@@ -59,7 +59,7 @@
 		SlotHolders:        state.Voters(),
 		ActiveVoters:       state.activeVoterNames(),
 		FullyActiveVersion: m.fullyActiveVersion,
-		Lagging:            m.lagging[:min(len(m.lagging), maxLagging)],
+		Lagging:            m.lagging[:min(len(m.lagging), maxLaggingDaemons)],
 	}
 	if r.ReadyVersion < state.ActiveVersion && r.RejectedVersion < state.ActiveVersion {
 		grant.ActiveDocs = state.ActiveDocs
--- a/internal/cluster/consensus/lease_test.go
+++ b/internal/cluster/consensus/lease_test.go
@@ -37,8 +37,8 @@
 }
 
 // The last grant of a lease on version 1 reaches its daemon late, and no grant follows. If the lease counted from the
-// arrival of the grant (CountFromGrant), the daemon would act on version 1 for longer than MaxOverlap after version 2
-// may be active.
+// arrival of the grant (CountFromGrant), the daemon would act on version 1 until more than MaxOverlap after the
+// instant at which the leader may activate version 2.
 func TestLeaseCountsFromItsRequest(t *testing.T) {
 	for _, countFromGrant := range []bool{false, true} {
 		config := testLeaseConfig
@@ -195,8 +195,8 @@
 	}
 }
 
-// BenchmarkLeaseValid measures LeaseHolder.Valid, which is called for each request of a client. It must take no lock, and
-// less than 50 ns.
+// BenchmarkLeaseValid measures LeaseHolder.Valid, which must acquire no lock and take less than 50 ns. A daemon that
+// rejects requests while no lease is valid makes a similar comparison for each client request (LeasedVersion.CoversVersion).
 func BenchmarkLeaseValid(b *testing.B) {
 	h := NewLeaseHolder("d", testLeaseConfig, 1, nil)
 	h.leased.ExpiresAt = time.Hour
--- a/internal/cluster/consensus/membership.go
+++ b/internal/cluster/consensus/membership.go
@@ -79,8 +79,8 @@
 		return CommandResult{Version: s.Version, Unchanged: true}, nil
 	}
 	// A slot whose voter is not active may be removed at any time: raft does not count on its voter.
-	isInactiveRemoval := c.IsRemoval && !s.ActiveVoters[id]
-	if !isInactiveRemoval {
+	removesInactiveVoter := c.IsRemoval && !s.ActiveVoters[id]
+	if !removesInactiveVoter {
 		if err := s.checkVoterChange(c); err != nil {
 			return CommandResult{}, err
 		}
--- a/internal/cluster/consensus/membership_test.go
+++ b/internal/cluster/consensus/membership_test.go
@@ -29,13 +29,13 @@
 
 // drainOutput calls Output until it returns nil, does none of the returned work, and returns the number of snapshots in
 // the output.
-func drainOutput(v *Voter, now time.Duration) (snapshots int) {
+func drainOutput(v *Voter, now time.Duration) (snapshotCount int) {
 	for out := v.Output(now); out != nil; out = v.Output(now) {
 		if out.Snapshot != nil {
-			snapshots++
+			snapshotCount++
 		}
 	}
-	return snapshots
+	return snapshotCount
 }
 
 // requestGrant returns the grant with which the voter answers a request.
@@ -140,21 +140,21 @@
 // The log in memory retains commands of a bounded number and a bounded total size.
 func TestRetainedLogIsBounded(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		size int
+		name      string
+		bodyBytes int
 	}{
 		{"short commands", 10},
 		{"long commands", MaxDocumentBytes / 4},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			v, now := newSingleVoter(t)
-			body := make([]byte, c.size)
-			maxLogBytes, snapshots, puts := 0, 0, min(2*snapshotEntries+1, 14<<20/c.size)
-			for range puts {
+			body := make([]byte, c.bodyBytes)
+			longestLogBytes, snapshotCount, putCount := 0, 0, min(2*snapshotEntryThreshold+1, 14<<20/c.bodyBytes)
+			for range putCount {
 				if err := v.Propose(&Command{Put: &DocumentPut{"a", body}}); err != nil {
 					t.Fatal(err)
 				}
-				snapshots += drainOutput(v, now)
+				snapshotCount += drainOutput(v, now)
 				first, _ := v.storage.FirstIndex()
 				last, _ := v.storage.LastIndex()
 				entries, err := v.storage.Entries(first, last+1, 1<<62)
@@ -165,16 +165,16 @@
 				for _, entry := range entries {
 					logBytes += len(entry.GetData())
 				}
-				maxLogBytes = max(maxLogBytes, logBytes)
-				if len(entries) > 2*snapshotEntries {
-					t.Fatalf("%d entries are in the log in memory, want at most %d", len(entries), 2*snapshotEntries)
+				longestLogBytes = max(longestLogBytes, logBytes)
+				if len(entries) > 2*snapshotEntryThreshold {
+					t.Fatalf("%d entries are in the log in memory, want at most %d", len(entries), 2*snapshotEntryThreshold)
 				}
 			}
-			if maxLogBytes > snapshotLogBytes+maxRetainedLogBytes+2*MaxDocumentBytes || snapshots == 0 {
+			if longestLogBytes > snapshotByteThreshold+maxRetainedLogBytes+2*MaxDocumentBytes || snapshotCount == 0 {
 				t.Errorf("up to %d bytes are in the log in memory, with %d snapshots; want at most %d bytes, and at least one snapshot",
-					maxLogBytes, snapshots, snapshotLogBytes+maxRetainedLogBytes+2*MaxDocumentBytes)
+					longestLogBytes, snapshotCount, snapshotByteThreshold+maxRetainedLogBytes+2*MaxDocumentBytes)
 			}
-			t.Logf("up to %d bytes are in the log in memory, with %d snapshots and %d puts", maxLogBytes, snapshots, puts)
+			t.Logf("up to %d bytes are in the log in memory, with %d snapshots and %d puts", longestLogBytes, snapshotCount, putCount)
 		})
 	}
 }
--- a/internal/cluster/consensus/output.go
+++ b/internal/cluster/consensus/output.go
@@ -72,8 +72,8 @@
 // installSnapshot replaces the log and the State by a snapshot received from another voter.
 func (v *Voter) installSnapshot(snapshot *raftpb.Snapshot) {
 	if err := errors.Join(v.storage.ApplySnapshot(snapshot), v.restore(snapshot)); err != nil {
-		// Another voter has sent a snapshot that this build can't install. If the cluster has keys, the transport has verified
-		// the message's signature.
+		// Another voter has sent a snapshot that this build can't install. Only a daemon of the cluster can cause this panic if
+		// the cluster has keys: the transport has then verified the message's signature.
 		panic(fmt.Sprintf("install snapshot of another voter: %v", err))
 	}
 }
@@ -103,7 +103,7 @@
 		v.applyConfChange(entry)
 		return
 	}
-	if entry.GetType() != raftpb.EntryNormal || len(entry.GetData()) == 0 { // no command: the empty entry that a new leader commits
+	if entry.GetType() != raftpb.EntryNormal || len(entry.GetData()) == 0 { // no command: the empty entry that a new leader commits, or an entry of a type that no voter proposes
 		return
 	}
 	id, result, err := v.state.applyEncoded(entry.GetData())
--- a/internal/cluster/consensus/snapshot.go
+++ b/internal/cluster/consensus/snapshot.go
@@ -11,14 +11,14 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// A snapshot is due when snapshotEntries entries, or snapshotLogBytes bytes of entries, have been applied since the latest
-// snapshot. Part of the log before the snapshot is retained for voters that are a little behind, which would otherwise
+// A snapshot is due when snapshotEntryThreshold entries, or snapshotByteThreshold bytes of entries, have been applied since the
+// latest snapshot. Part of the log before the snapshot is retained for voters that are a little behind, which would otherwise
 // need the complete snapshot.
 const (
-	snapshotEntries     = 1000                // number of applied entries after which a snapshot is due
-	snapshotLogBytes    = 8 << 20             // bytes of applied entries after which a snapshot is due: several of the longest commands
-	maxRetainedEntries  = snapshotEntries / 2 // greatest number of entries retained before a snapshot
-	maxRetainedLogBytes = 4 << 20             // greatest number of bytes of entries retained before a snapshot
+	snapshotEntryThreshold = 1000                       // number of applied entries after which a snapshot is due
+	snapshotByteThreshold  = 8 << 20                    // bytes of applied entries after which a snapshot is due; several of the longest commands fit into them
+	maxRetainedEntries     = snapshotEntryThreshold / 2 // greatest number of entries that the log in memory retains although a snapshot covers them
+	maxRetainedLogBytes    = 4 << 20                    // greatest number of bytes of entries that the log in memory retains although a snapshot covers them
 )
 
 // initialSnapshotIndex is the log index of the snapshot from which the logs of the initial voters start.
@@ -72,8 +72,8 @@
 // accepts only a snapshot whose configuration names it.
 func (v *Voter) needsSnapshot() bool {
 	return v.needsLearnerSnapshot ||
-		v.appliedIndex >= v.snapshotIndex+snapshotEntries ||
-		v.bytesSinceSnapshot >= snapshotLogBytes
+		v.appliedIndex >= v.snapshotIndex+snapshotEntryThreshold ||
+		v.bytesSinceSnapshot >= snapshotByteThreshold
 }
 
 // takeSnapshot returns a snapshot of the applied State together with the log entries that are not applied yet, and
@@ -119,9 +119,9 @@
 	if err != nil {
 		return 0
 	}
-	bytes := 0
+	retainedBytes := 0
 	for i, entry := range slices.Backward(entries) {
-		if bytes += len(entry.GetData()); bytes > maxRetainedLogBytes || len(entries)-i > maxRetainedEntries {
+		if retainedBytes += len(entry.GetData()); retainedBytes > maxRetainedLogBytes || len(entries)-i > maxRetainedEntries {
 			return entry.GetIndex()
 		}
 	}
--- a/internal/cluster/consensus/state_test.go
+++ b/internal/cluster/consensus/state_test.go
@@ -130,8 +130,8 @@
 		t.Errorf("read of a version that is not retained: error %v, want %v", err, ErrCompacted)
 	}
 	mustApply(t, state, Command{Read: &DocumentVersion{"big", 10}}) // must succeed, since version 10 is retained
-	for name, size := range map[string]int{"all documents": MaxDocumentBytes, "one document": MaxDocumentBytes + 1} {
-		tooLong := Command{Put: &DocumentPut{"more", bytes.Repeat([]byte("y"), size)}}
+	for name, bodyBytes := range map[string]int{"all documents": MaxDocumentBytes, "one document": MaxDocumentBytes + 1} {
+		tooLong := Command{Put: &DocumentPut{"more", bytes.Repeat([]byte("y"), bodyBytes)}}
 		if _, err := apply(t, state, tooLong); !errors.Is(err, ErrLimitExceeded) {
 			t.Errorf("put beyond the bound of %s: error %v, want %v", name, err, ErrLimitExceeded)
 		}
--- a/internal/cluster/consensus/voter.go
+++ b/internal/cluster/consensus/voter.go
@@ -9,15 +9,15 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// electionHeartbeats is the least number of heartbeat intervals without a message of a leader after which a follower
+// electionTimeoutHeartbeats is the least number of heartbeat intervals without a message of a leader after which a follower
 // campaigns.
-const electionHeartbeats = 5
+const electionTimeoutHeartbeats = 5
 
 // Bounds of raft's messages and of its uncommitted log.
 const (
 	maxInflightMessages = 64      // greatest number of append messages to one voter that the voter has not acknowledged
 	maxMessageBytes     = 1 << 20 // greatest number of bytes of entries in one message; a longer entry is sent alone
-	maxUncommittedBytes = 8 << 20 // greatest number of bytes of proposed entries that are not committed: several of the longest commands
+	maxUncommittedBytes = 8 << 20 // greatest number of bytes of proposed entries that are not committed; several of the longest commands fit into them
 )
 
 // Config is the configuration of a Voter, which does not change after NewVoter.
@@ -90,7 +90,7 @@
 	}
 	v.rawNode, err = raft.NewRawNode(&raft.Config{
 		ID:                        config.ID,
-		ElectionTick:              electionHeartbeats,
+		ElectionTick:              electionTimeoutHeartbeats,
 		HeartbeatTick:             1,
 		Storage:                   v.storage,
 		Applied:                   v.appliedIndex,
@@ -157,7 +157,7 @@
 	}
 }
 
-// heartbeat has raft send its heartbeats, and repeats a round of ReadIndex whose messages may have been lost. It also
+// heartbeat makes raft send its heartbeats, and repeats a round of ReadIndex whose messages may have been lost. It also
 // proposes what has become possible since the previous heartbeat: to activate or skip a version, and to change raft's
 // configuration.
 func (v *Voter) heartbeat(now time.Duration) {
@@ -197,17 +197,17 @@
 	v.resetElectionTimer(now)
 }
 
-// leaderTimeoutAt returns the instant until which a follower assumes that the leader is alive, unless another message of the
-// leader arrives.
+// leaderTimeoutAt returns the instant at which a follower stops assuming that the leader is alive if no further message of
+// the leader arrives before.
 func (v *Voter) leaderTimeoutAt() time.Duration {
-	return v.leaderMessageAt + electionHeartbeats*v.config.HeartbeatInterval
+	return v.leaderMessageAt + electionTimeoutHeartbeats*v.config.HeartbeatInterval
 }
 
 // resetElectionTimer sets the instant at which this voter campaigns if no message of a leader arrives before. The
 // instant is random, so that few voters campaign at once. raft's own random timeout can't be seeded; followers therefore
 // do not tick raft, and campaign when this timer expires.
 func (v *Voter) resetElectionTimer(now time.Duration) {
-	timeout := electionHeartbeats * v.config.HeartbeatInterval
+	timeout := electionTimeoutHeartbeats * v.config.HeartbeatInterval
 	v.campaignAt = now + timeout + time.Duration(v.rng.Int64N(int64(timeout)))
 }
 
--- a/internal/cluster/raftnode/cluster_test.go
+++ b/internal/cluster/raftnode/cluster_test.go
@@ -50,7 +50,7 @@
 // testDocument is the name of the only document that tests of a testCluster change.
 const testDocument = "doc"
 
-// newTestCluster starts a cluster of size nodes, which are closed when the test ends.
+// newTestCluster starts a cluster whose number of nodes is size. The nodes are closed when the test ends.
 func newTestCluster(t *testing.T, size int) *testCluster {
 	t.Helper()
 	c := &testCluster{t: t}
@@ -139,9 +139,9 @@
 	return err
 }
 
-// changeVotersWhenFree repeats changeVoters until the change is accepted, which it is once no earlier change is in
+// changeVotersWithRetry repeats changeVoters until the change is accepted, which it is once no earlier change is in
 // progress.
-func (c *testCluster) changeVotersWhenFree(i int, name string, isRemoval bool) {
+func (c *testCluster) changeVotersWithRetry(i int, name string, isRemoval bool) {
 	c.t.Helper()
 	testpeer.Eventually(c.t, "the change of voter "+name+" is accepted", func() bool { return c.changeVoters(i, name, isRemoval) == nil })
 }
--- a/internal/cluster/raftnode/disk.go
+++ b/internal/cluster/raftnode/disk.go
@@ -44,7 +44,7 @@
 		return nil, fmt.Errorf("get the size of %s: %w", name, err)
 	}
 	body := make([]byte, min(size, maxBytes))
-	if count, err := f.ReadAt(body, 0); count < len(body) {
+	if n, err := f.ReadAt(body, 0); n < len(body) {
 		return nil, fmt.Errorf("read %s: %w", name, err)
 	}
 	return body, nil
--- a/internal/cluster/raftnode/eventloop.go
+++ b/internal/cluster/raftnode/eventloop.go
@@ -55,8 +55,9 @@
 	return min(max(next-now, 0), maxIdleWait)
 }
 
-// handleMessage dispatches a message by its kind. It drops a message that can't be decoded. If the cluster has keys, the
-// transport has verified that a daemon of the cluster sent the message, so the sending daemon runs another build.
+// handleMessage dispatches a message by its kind. It drops a message that can't be decoded. If the cluster has keys, only
+// a daemon of another build can have sent such a message, since the transport has verified that the sender is a daemon of
+// the cluster.
 func (n *Node) handleMessage(m transport.Message) {
 	now := n.options.Now()
 	switch m.Kind {
--- a/internal/cluster/raftnode/identity.go
+++ b/internal/cluster/raftnode/identity.go
@@ -21,7 +21,7 @@
 type identity struct {
 	name          string            // name of the daemon that runs the voter
 	initialVoters []string          // names of the cluster's initial voters, sorted; empty: this voter was added later
-	voterID       uint64            // raft id of the voter; 0: initialVoters lacks the name
+	voterID       uint64            // raft id of the voter; 0: initialVoters does not contain the daemon's name
 	clusterID     clusterID         // digest of the initial voters' names, which identifies the cluster
 	diskIDs       map[string]string // for an initial voter: disk ids of all initial voters, by name, when the first of them created its log
 }
--- a/internal/cluster/raftnode/identity_test.go
+++ b/internal/cluster/raftnode/identity_test.go
@@ -43,8 +43,8 @@
 				!slices.Equal(got.initialVoters, c.want.initialVoters) || !maps.Equal(got.diskIDs, c.want.diskIDs) {
 				t.Errorf("parsed as %+v, want %+v", *got, c.want)
 			}
-			if cluster := hex.EncodeToString(got.clusterID[:]); cluster != clusterIDOfABC {
-				t.Errorf("cluster id %s, want %s", cluster, clusterIDOfABC)
+			if clusterID := hex.EncodeToString(got.clusterID[:]); clusterID != clusterIDOfABC {
+				t.Errorf("cluster id %s, want %s", clusterID, clusterIDOfABC)
 			}
 			if got.String() != c.text {
 				t.Errorf("written as %q, want %q", got.String(), c.text)
--- a/internal/cluster/raftnode/leaseclient.go
+++ b/internal/cluster/raftnode/leaseclient.go
@@ -15,9 +15,9 @@
 	nextRequestAt          time.Duration // instant of the next lease request
 	knownVoters            []string      // names, sorted, of the initial voters and other known voters, which may grant leases
 	activeVoters           []string      // names of the daemons that vote, as a leader last reported them
-	leader                 string        // name of the voter that sent the latest grant, or to which a lease request was sent after that grant
+	leader                 string        // name of the voter taken for the leader: the sender of the latest grant or, if it left a request unanswered since, the voter that was asked next
 	isLatestRequestGranted bool          // whether a grant has answered the latest lease request
-	hasFirstGrant          bool          // whether Node.firstGrant is closed
+	hasFirstGrant          bool          // whether a grant with an active version on which this daemon acts has arrived since Start; Node.firstGrant is then closed
 	checkingVersion        uint64        // version for which Options.Check is running; 0: none
 }
 
--- a/internal/cluster/raftnode/localvoter.go
+++ b/internal/cluster/raftnode/localvoter.go
@@ -64,8 +64,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("list the voter's directory: %w", err)
 	}
-	// These files do not belong to a voter: a daemon without one writes the version cache and the disk id, and an interrupted
-	// start leaves temporary files.
+	// The version cache, the disk id and temporary files do not show that the directory belongs to a voter: a daemon without a
+	// voter writes the first two, and an interrupted start leaves temporary files.
 	names = slices.DeleteFunc(names, func(name string) bool {
 		return name == cacheFile || name == diskIDFile || strings.HasSuffix(name, wal.TempSuffix)
 	})
--- a/internal/cluster/raftnode/localvoter_test.go
+++ b/internal/cluster/raftnode/localvoter_test.go
@@ -64,9 +64,9 @@
 			t.Fatal(err)
 		}
 		testpeer.Eventually(t, "the daemon gives up starting a voter", func() bool {
-			hasGivenUp := make(chan bool, 1)
-			n.submit(t.Context(), func() { hasGivenUp <- n.isVoterStartDisabled && n.localVoter == nil })
-			return <-hasGivenUp
+			isStartDisabled := make(chan bool, 1)
+			n.submit(t.Context(), func() { isStartDisabled <- n.isVoterStartDisabled && n.localVoter == nil })
+			return <-isStartDisabled
 		})
 		if err := n.Close(); err != nil {
 			t.Error(err)
@@ -97,8 +97,8 @@
 	}
 	c.waitAllActing(lastVersion, "4")
 	c.nodes[1].Close()
-	newerNames, _ := c.disks[1].List()
-	for _, name := range newerNames {
+	newerFileNames, _ := c.disks[1].List()
+	for _, name := range newerFileNames {
 		if olderFiles[name] == nil {
 			_ = c.disks[1].Remove(name)
 		}
@@ -118,9 +118,9 @@
 	c.waitAllActing(c.put(0, "a", "one"), "one")
 	for i := range 3 { // s3, s4 and s5 replace s0, s1 and s2
 		added, removed := []string{"s3", "s4", "s5"}[i], []string{"s0", "s1", "s2"}[i]
-		c.changeVotersWhenFree(5, added, false)
+		c.changeVotersWithRetry(5, added, false)
 		c.waitIsVoter(3+i, true)
-		c.changeVotersWhenFree(4, removed, true)
+		c.changeVotersWithRetry(4, removed, true)
 		c.waitIsVoter(i, false)
 	}
 	c.waitAllActing(c.put(0, "b", "two"), "two")
@@ -130,10 +130,10 @@
 	c.nodes[5].Close()
 	c.waitActing(c.nodes[:5], c.put(3, "c", "three"), "three")
 
-	c.changeVotersWhenFree(3, "s5", true)
+	c.changeVotersWithRetry(3, "s5", true)
 	c.disks[5] = simdisk.New() // the disk of s5 is lost
 	c.start(5)
-	c.changeVotersWhenFree(3, "s5", false)
+	c.changeVotersWithRetry(3, "s5", false)
 	c.waitIsVoter(5, true)
 	c.waitAllActing(c.put(5, "d", "four"), "four")
 	testpeer.Eventually(t, "all nodes report s3, s4 and s5 as active voters", func() bool {
@@ -160,8 +160,8 @@
 	if c.nodes[1].Status().IsVoter {
 		t.Error("s1 votes though its disk was lost")
 	}
-	c.changeVotersWhenFree(1, "s1", true)
-	c.changeVotersWhenFree(1, "s1", false)
+	c.changeVotersWithRetry(1, "s1", true)
+	c.changeVotersWithRetry(1, "s1", false)
 	c.waitIsVoter(1, true)
 	c.nodes[1].Close()
 	c.start(1)
@@ -184,7 +184,7 @@
 	if err := c.changeVoters(2, "nobody", true); err != nil {
 		t.Errorf("removal of a voter whose daemon never started: error %v, want none", err)
 	}
-	c.changeVotersWhenFree(2, "s3", false)
+	c.changeVotersWithRetry(2, "s3", false)
 	c.waitIsVoter(3, true)
 	c.waitAllActing(c.put(3, "b", "two"), "two")
 }
--- a/internal/cluster/raftnode/node_test.go
+++ b/internal/cluster/raftnode/node_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// BenchmarkCoversVersion measures Node.CoversVersion, which runs for each request that is rejected while no lease is
-// valid. A call takes no lock, and 56 ns, most of which is the time for reading the clock.
+// BenchmarkCoversVersion measures Node.CoversVersion, which a daemon calls for each client request if it is to reject requests
+// while no lease is valid. A call acquires no lock and takes 56 ns, most of which is the time for reading the clock.
 func BenchmarkCoversVersion(b *testing.B) {
 	start := time.Now()
 	n := &Node{options: Options{Now: func() time.Duration { return time.Since(start) }}}
--- a/internal/cluster/raftnode/proposals.go
+++ b/internal/cluster/raftnode/proposals.go
@@ -102,8 +102,8 @@
 	return consensus.CommandResult{}, consensus.ErrIndeterminate
 }
 
-// addProposal has the result of a command sent to waiter: at once if the result is known, otherwise when it arrives. It
-// returns false if the command is new and the node holds as many commands as the bounds allow.
+// addProposal arranges that waiter receives the result of a command: at once if the result is known, otherwise when it
+// arrives. It returns false if the command is new and the node holds as many commands as the bounds allow.
 func (n *Node) addProposal(id string, body []byte, waiter chan proposalResult) bool {
 	p := n.proposals[id]
 	switch {
--- a/internal/cluster/raftnode/status.go
+++ b/internal/cluster/raftnode/status.go
@@ -10,7 +10,7 @@
 type Status struct {
 	IsVoter            bool                      // whether this daemon runs a voter that is not a learner
 	IsLeader           bool                      // whether this daemon's voter takes itself for the leader
-	Leader             string                    // name of the voter that sent the latest grant, or to which a lease request was sent after that grant
+	Leader             string                    // name of the voter taken for the leader: the sender of the latest grant or, if it left a lease request unanswered since, the voter that was asked next
 	KnownVoters        []string                  // names of the daemons from which this daemon may request a lease, sorted
 	ActiveVoters       []string                  // names of the daemons that vote, as a leader last reported them
 	Term               uint64                    // latest raft term that this daemon's voter has seen; 0: the daemon runs no voter
--- a/internal/cluster/raftnode/storedformat_test.go
+++ b/internal/cluster/raftnode/storedformat_test.go
@@ -21,7 +21,7 @@
 // against a field whose JSON name has changed since: its value would be missing or have another name.
 func TestStoredDataOfEarlierBuildEncodesUnchanged(t *testing.T) {
 	commandsByField := map[string]int{} // number of commands in which a field is set, by the field's JSON name
-	snapshots := 0
+	snapshotCount := 0
 	for _, f := range earlierFixtures {
 		for _, daemon := range slices.Sorted(maps.Keys(earlierDiskIDs)) {
 			t.Run(f.name+"/"+daemon, func(t *testing.T) {
@@ -43,7 +43,7 @@
 				}
 				replayNothing := func(wal.Record) error { return nil }
 				openAndCloseLog(t, disk, func(r io.Reader) error {
-					snapshots++
+					snapshotCount++
 					return checkSnapshotEncodesUnchanged(t, r)
 				}, replayNothing)
 				// Without the snapshots, the log is replayed from its first record.
@@ -57,8 +57,8 @@
 			t.Errorf("no command in the logs sets the field %q, want some; fields: %v", field, commandsByField)
 		}
 	}
-	if snapshots != len(earlierDiskIDs) {
-		t.Errorf("%d snapshots, want %d", snapshots, len(earlierDiskIDs))
+	if snapshotCount != len(earlierDiskIDs) {
+		t.Errorf("%d snapshots, want %d", snapshotCount, len(earlierDiskIDs))
 	}
 }
 
@@ -95,14 +95,14 @@
 func checkCacheEncodesUnchanged(t *testing.T, disk wal.FS) {
 	t.Helper()
 	text, err := readFile(disk, cacheFile, maxCacheBytes)
-	if err != nil || len(text) < checksumSize {
-		t.Fatalf("cache file of %d bytes, error %v; want at least %d bytes", len(text), err, checksumSize)
+	if err != nil || len(text) < checksumLineSize {
+		t.Fatalf("cache file of %d bytes, error %v; want at least %d bytes", len(text), err, checksumLineSize)
 	}
 	entry, err := readCacheEntry(disk)
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkSameJSON(t, cacheFile, text[checksumSize:], entry)
+	checkSameJSON(t, cacheFile, text[checksumLineSize:], entry)
 }
 
 // checkSameJSON fails the test unless the JSON encoding of value is text, from which the value was decoded. subject
@@ -124,8 +124,8 @@
 	}
 	var parts [][]byte
 	for len(body) > 0 {
-		length, size := binary.Uvarint(body)
-		parts, body = append(parts, body[size:size+int(length)]), body[size+int(length):]
+		length, n := binary.Uvarint(body)
+		parts, body = append(parts, body[n:n+int(length)]), body[n+int(length):]
 	}
 	snapshot := &raftpb.Snapshot{}
 	if err := proto.Unmarshal(parts[1], snapshot); err != nil {
--- a/internal/cluster/raftnode/versioncache.go
+++ b/internal/cluster/raftnode/versioncache.go
@@ -15,8 +15,8 @@
 	// a daemon that starts and reaches no voter uses the cached version as if the lease on that version had expired.
 	cacheFile = "ACTED"
 
-	checksumSize  = 2*sha256.Size + 1           // length of the cache file's checksum line in bytes: hexadecimal digits and a newline
-	maxCacheBytes = 2 * consensus.MaxTotalBytes // greatest size of the cache file in bytes: bodies in base64, and names
+	checksumLineSize = 2*sha256.Size + 1             // length of the cache file's checksum line in bytes: hexadecimal digits and a newline
+	maxCacheBytes    = 2 * consensus.MaxVersionBytes // greatest size of the cache file in bytes: more than the bodies take in base64, so that the names fit in too
 )
 
 // cacheEntry is the version and the voters that the cache file holds. Its JSON names are stored and must not change.
@@ -70,12 +70,12 @@
 	if text == nil || err != nil {
 		return nil, err
 	}
-	checksum := fmt.Sprintf("%x\n", sha256.Sum256(text[min(len(text), checksumSize):]))
-	if len(text) < checksumSize || string(text[:checksumSize]) != checksum {
+	checksum := fmt.Sprintf("%x\n", sha256.Sum256(text[min(len(text), checksumLineSize):]))
+	if len(text) < checksumLineSize || string(text[:checksumLineSize]) != checksum {
 		return nil, fmt.Errorf("%s: its checksum does not match its contents", cacheFile)
 	}
 	entry := &cacheEntry{}
-	if err := json.Unmarshal(text[checksumSize:], entry); err != nil {
+	if err := json.Unmarshal(text[checksumLineSize:], entry); err != nil {
 		return nil, fmt.Errorf("%s: %w", cacheFile, err)
 	}
 	return entry, nil
