--- a/internal/body/memory_budget.go
+++ b/internal/body/memory_budget.go
@@ -16,7 +16,7 @@
 	lastID          int                   // ID of the most recent request
 }
 
-// Size is the amount of memory that a body needs, and the kind of body.
+// Size is the amount of memory that a body needs, and whether the body is streaming or buffered.
 type Size struct {
 	Bytes       int
 	IsStreaming bool // the body is forwarded while it arrives and holds its memory until it ends
--- a/internal/body/memory_budget_test.go
+++ b/internal/body/memory_budget_test.go
@@ -71,11 +71,11 @@
 			usedByStreaming += m.sizes[id].Bytes
 		}
 	}
-	maxStreaming := m.total - m.reserve
+	maxStreamingBytes := m.total - m.reserve
 	gotUsed, gotByStreaming := m.budget.InUse()
-	if gotUsed != used || gotByStreaming != usedByStreaming || used > m.total || usedByStreaming > maxStreaming {
+	if gotUsed != used || gotByStreaming != usedByStreaming || used > m.total || usedByStreaming > maxStreamingBytes {
 		t.Fatalf("InUse returned %d, %d, want %d, %d and at most %d, %d",
-			gotUsed, gotByStreaming, used, usedByStreaming, m.total, maxStreaming)
+			gotUsed, gotByStreaming, used, usedByStreaming, m.total, maxStreamingBytes)
 	}
 	if m.budget.Waiting() != len(m.waiting) {
 		t.Fatalf("Waiting returned %d, want %d", m.budget.Waiting(), len(m.waiting))
@@ -84,7 +84,7 @@
 	for i, id := range m.waiting {
 		s := m.sizes[id]
 		isOldest := !slices.ContainsFunc(m.waiting[:i], func(other int) bool { return m.sizes[other].IsStreaming == s.IsStreaming })
-		fits := used+s.Bytes <= m.total && (!s.IsStreaming || usedByStreaming+s.Bytes <= maxStreaming)
+		fits := used+s.Bytes <= m.total && (!s.IsStreaming || usedByStreaming+s.Bytes <= maxStreamingBytes)
 		mustYield := s.IsStreaming && slices.ContainsFunc(m.waiting, isBuffered)
 		if isOldest && fits && !mustYield {
 			t.Fatalf("request %d for %+v waits, though its memory is free", id, s)
--- a/internal/body/memory_pool.go
+++ b/internal/body/memory_pool.go
@@ -62,12 +62,12 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	others, ok := p.budget.Cancel(id)
+	grantedIDs, ok := p.budget.Cancel(id)
 	if !ok { // the request was granted before it could be canceled
 		return nil
 	}
 	delete(p.waiters, id)
-	p.notifyGranted(others)
+	p.notifyGranted(grantedIDs)
 	return ctx.Err()
 }
 
--- a/internal/body/minimum_rate.go
+++ b/internal/body/minimum_rate.go
@@ -12,8 +12,9 @@
 }
 
 // Meter checks that a peer keeps a MinimumRate. It counts only the time spent waiting for this peer, so that a peer is not
-// blamed for delays on the other side of a stream. It is a leaky bucket as a meter (ITU-T I.371), filled with time: waiting
-// drains the bucket, and transferred bytes fill it up to IdleTimeout. It reads no clock and is not safe for concurrent use.
+// blamed for delays on the other side of a stream. It is a leaky bucket as a meter (ITU-T I.371) that holds credit as a time:
+// waiting uses up credit, and each transferred byte adds the time that it takes at BytesPerSecond, up to a credit of
+// IdleTimeout. A Meter reads no clock and is not safe for concurrent use.
 type Meter struct {
 	rate         MinimumRate
 	credit       time.Duration // time that the peer may still take before it falls below the rate
@@ -31,12 +32,13 @@
 	return max(m.credit, 0)
 }
 
-// deadlineSlackDivisor is the ratio of MaxWait to the time by which a connection's deadline may be too early without being set
-// again. The deadline is not set for every wait, since setting it costs as much as transferring a small part of a body.
+// deadlineSlackDivisor limits how early a connection's deadline may be: Deadline keeps the previous deadline if it is early by
+// at most MaxWait/deadlineSlackDivisor. The deadline is not set for every wait, since setting it costs as much as transferring
+// a small part of a body.
 const deadlineSlackDivisor = 8
 
-// MinWait returns the shortest time that Deadline, called now, may leave for a wait: MaxWait less the time by which a
-// connection's deadline may be too early.
+// MinWait returns the shortest wait that the result of Deadline allows. It is shorter than MaxWait, because Deadline may keep a
+// deadline that is early by up to MaxWait/deadlineSlackDivisor.
 func (m *Meter) MinWait() time.Duration {
 	return m.MaxWait() - m.MaxWait()/deadlineSlackDivisor
 }
--- a/internal/body/minimum_rate_test.go
+++ b/internal/body/minimum_rate_test.go
@@ -15,24 +15,24 @@
 			IdleTimeout:    time.Duration(rapid.IntRange(1, 10).Draw(t, "idle")) * time.Second,
 			BytesPerSecond: int64(rapid.IntRange(10, 10_000).Draw(t, "rate")),
 		}
-		fraction := rapid.Float64Range(0.1, 3).Draw(t, "fraction of the rate")
+		rateFraction := rapid.Float64Range(0.1, 3).Draw(t, "fraction of the rate")
 		step := time.Duration(rapid.IntRange(1, 900).Draw(t, "step in ms")) * time.Millisecond
 		m, total, transferred := NewMeter(minimum), time.Duration(0), 0.0
 		for range 5000 {
 			if m.MaxWait() < step {
 				break
 			}
-			n := int(fraction*float64(minimum.BytesPerSecond)*(total+step).Seconds() - transferred)
+			n := int(rateFraction*float64(minimum.BytesPerSecond)*(total+step).Seconds() - transferred)
 			transferred += float64(n)
 			m.Record(n, step)
 			total += step
 		}
 		hasCompleted := total >= 5000*step
-		secondsBehind := (1 - fraction) * total.Seconds()
+		secondsBehind := (1 - rateFraction) * total.Seconds()
 		switch {
-		case fraction >= 1.01 && !hasCompleted:
+		case rateFraction >= 1.01 && !hasCompleted:
 			t.Fatalf("a peer above the minimum rate was found too slow after %v", total)
-		case fraction < 1 && secondsBehind > minimum.IdleTimeout.Seconds()+step.Seconds()+2/float64(minimum.BytesPerSecond):
+		case rateFraction < 1 && secondsBehind > minimum.IdleTimeout.Seconds()+step.Seconds()+2/float64(minimum.BytesPerSecond):
 			t.Fatalf("a peer below the minimum rate was accepted for %v, when it was %.1f s behind", total, secondsBehind)
 		}
 	})
@@ -51,8 +51,8 @@
 	}
 	start := time.Now()
 	for _, row := range []struct {
-		after   time.Duration // time from start to the call of Deadline
-		at      time.Duration // time from start to the deadline
+		after   time.Duration // time from the start of the test to the call of Deadline
+		at      time.Duration // expected result of Deadline, as the time from the start of the test
 		changed bool
 	}{
 		{0, idleTimeout, true},
--- a/internal/body/read.go
+++ b/internal/body/read.go
@@ -6,9 +6,9 @@
 	"io"
 )
 
-// Read reads once from a body. It returns an error in which errors.Is finds io.EOF only at the body's end, which an io.Reader
-// reports as io.EOF itself. If from returns an error that merely wraps io.EOF, it has failed, and the incomplete body must not
-// be taken for a complete one: Read returns an error that wraps io.ErrUnexpectedEOF instead.
+// Read reads once from a body. An error that wraps io.EOF, but is not io.EOF itself, means that reading from failed before the
+// body's end. Read replaces such an error by one that wraps io.ErrUnexpectedEOF, so that a caller that checks for io.EOF with
+// errors.Is does not take an incomplete body for a complete one.
 func Read(from io.Reader, to []byte) (int, error) {
 	n, err := from.Read(to)
 	if err != io.EOF && errors.Is(err, io.EOF) {
--- a/internal/body/upload.go
+++ b/internal/body/upload.go
@@ -26,8 +26,8 @@
 	ErrBroken = errors.New("the body can't be read to its end")
 )
 
-// PrefixSize is the length in bytes of an Upload's prefix, which stays in the buffer so that the body can be sent again. The
-// bytes after the prefix stream through the rest of the buffer.
+// PrefixSize is the maximum length of the prefix of a body, in bytes. The prefix is the first part of the body, which an Upload
+// keeps in its buffer so that the body can be sent again. The bytes after the prefix stream through the rest of the buffer.
 const PrefixSize = BufferSize / 2
 
 // Source is the request from which an Upload reads.
@@ -47,26 +47,26 @@
 	MinimumRate MinimumRate
 }
 
-// Upload is a request's body that is forwarded while it arrives. Its prefix stays buffered, so the body can be sent again until
-// an UploadReader has returned bytes beyond the prefix. Methods are safe for concurrent use, but only one UploadReader may be
-// open at a time.
+// Upload is a request's body that is forwarded while it arrives. The first PrefixSize bytes of the body, its prefix, stay
+// buffered, so the body can be sent again until an UploadReader has returned bytes beyond the prefix. Methods are safe for
+// concurrent use, but only one UploadReader may be open at a time.
 type Upload struct {
 	Source
 	pool   *MemoryPool
-	buffer *[]byte       // BufferSize bytes that hold the prefix, and each later part of the body until the next read
+	buffer *[]byte       // BufferSize bytes that hold the body's first PrefixSize bytes, and each later part of the body until the next read
 	meter  Meter         // checks that the client keeps its MinimumRate
 	failed chan struct{} // closed when the body could not be read
 
-	mu          sync.Mutex
-	readEnded   sync.Cond // signaled when a read of Source.Body has ended, or an UploadReader was closed
-	prefixLen   int       // bytes of the prefix that have arrived
-	pendingPart []byte    // part of the body whose UploadReader was closed during the read; the next UploadReader returns it
-	received    int64     // bytes of the body that have arrived
-	isReading   bool      // a read of Source.Body is in progress
-	isComplete  bool      // the body's end has arrived
-	isConsumed  bool      // the body can't be sent again: bytes beyond the prefix were returned, or the buffer was taken
-	isStopped   bool      // no more reads are allowed
-	err         error     // why a read of the body failed; nil: none has failed
+	mu            sync.Mutex
+	readEnded     sync.Cond // signaled when a read of Source.Body has ended, or an UploadReader was closed
+	prefixLen     int       // how many of the body's first PrefixSize bytes have arrived
+	pendingPart   []byte    // part of the body that was read for an UploadReader that has been closed; the next UploadReader returns this part
+	receivedBytes int64     // bytes of the body that have arrived
+	isReading     bool      // a read of Source.Body is in progress
+	isComplete    bool      // the body's end has arrived
+	isConsumed    bool      // the body can't be sent again: bytes beyond the first PrefixSize were returned, or TakeBuffer was called
+	isStopped     bool      // no more reads are allowed
+	err           error     // why a read of the body failed; nil: none has failed
 }
 
 // NewUpload returns an Upload with a buffer from the pool. It waits for the buffer until ctx ends, and fails as
@@ -81,16 +81,16 @@
 	return u, nil
 }
 
-// Prefix returns the bytes of the prefix that have arrived. They are valid until more than the prefix has been read, or until
-// Close.
+// Prefix returns those of the body's first PrefixSize bytes that have arrived. The result is valid until bytes after the first
+// PrefixSize have been read, or until Close.
 func (u *Upload) Prefix() []byte {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return (*u.buffer)[:u.prefixLen]
 }
 
-// IsConsumed reports whether the body can't be sent again, because bytes beyond its prefix were returned or its buffer was
-// taken.
+// IsConsumed reports whether the body can't be sent again, because bytes beyond its first PrefixSize were returned or
+// TakeBuffer was called.
 func (u *Upload) IsConsumed() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -114,8 +114,8 @@
 	return u.err
 }
 
-// ErrAfterRead waits until no read is in progress and returns the same as Err. When a read fails, net/http cancels the
-// request's context before that read returns, at which time Err is still nil.
+// ErrAfterRead waits until no read is in progress and returns the same as Err. It is for use after the request's context was
+// canceled: when a read fails, net/http cancels the context before the read returns, so Err may still return nil.
 func (u *Upload) ErrAfterRead() error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -164,7 +164,7 @@
 	}
 	u.waitForRead()
 	// If the client waits for 100 Continue, a read would make net/http send 100 Continue and so ask for a body that is not needed.
-	mustDrain := !u.isComplete && u.err == nil && (u.received > 0 || !u.ExpectsContinue)
+	mustDrain := !u.isComplete && u.err == nil && (u.receivedBytes > 0 || !u.ExpectsContinue)
 	u.mu.Unlock()
 	if mustDrain {
 		u.drain(linger, maxBytes)
@@ -175,9 +175,9 @@
 // drain reads and discards the rest of the body, for at most the time linger and up to about maxBytes bytes.
 func (u *Upload) drain(linger time.Duration, maxBytes int64) {
 	deadline := time.Now().Add(linger)
-	for remaining := maxBytes; remaining > 0 && time.Now().Before(deadline); {
+	for remainingBytes := maxBytes; remainingBytes > 0 && time.Now().Before(deadline); {
 		n, err := u.Body.Read(*u.buffer)
-		remaining -= int64(n)
+		remainingBytes -= int64(n)
 		if err != nil {
 			return
 		}
--- a/internal/body/upload_reader.go
+++ b/internal/body/upload_reader.go
@@ -8,7 +8,7 @@
 // one was closed. If the closed reader is still waiting for bytes from the client, the new reader gets these bytes.
 type UploadReader struct {
 	upload   *Upload
-	offset   int  // bytes of the upload's prefix that were returned, guarded by upload.mu
+	offset   int  // how many of the body's first PrefixSize bytes were returned, guarded by upload.mu
 	isClosed bool // whether Close was called, guarded by upload.mu
 }
 
--- a/internal/body/upload_receive.go
+++ b/internal/body/upload_receive.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// ReadPrefix reads until the prefix is complete or the body has ended, and reports whether the complete body is buffered. It
-// must be called before the request is forwarded.
+// ReadPrefix reads until the body's first PrefixSize bytes have arrived or the body has ended, and reports whether the complete
+// body is buffered. It must be called before the request is forwarded.
 func (u *Upload) ReadPrefix() (isComplete bool, err error) {
 	for u.prefixLen < PrefixSize {
 		if _, err := u.next(nil); errors.Is(err, io.EOF) {
@@ -26,8 +26,8 @@
 // sent nothing, ReadToEnd reads nothing and returns ErrBroken, since a read would make net/http send 100 Continue.
 func (u *Upload) ReadToEnd() error {
 	u.mu.Lock()
-	if u.ExpectsContinue && u.received == 0 && u.checkReadable() == nil {
-		u.recordReadError(io.ErrUnexpectedEOF)
+	if u.ExpectsContinue && u.receivedBytes == 0 && u.checkReadable() == nil {
+		u.updateAfterRead(io.ErrUnexpectedEOF)
 	}
 	u.mu.Unlock()
 	for {
@@ -40,8 +40,9 @@
 }
 
 // next returns the next part of the body for the reader r, or io.EOF at the body's end. It reads from the client only if no part
-// for r is buffered. If r is nil, next reads a part that no reader gets, and keeps it only if it belongs to the prefix. If a
-// read that a closed reader began is still in progress, next waits for that read and returns its bytes.
+// for r is buffered. If r is nil, next reads a part that no reader gets, and keeps the part only if it belongs to the body's
+// first PrefixSize bytes, its prefix. If a read that a closed reader began is still in progress, next waits for that read and
+// returns its bytes.
 func (u *Upload) next(r *UploadReader) ([]byte, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -56,7 +57,7 @@
 		r.offset = u.prefixLen
 		return part, nil
 	}
-	if part := u.pendingPart; part != nil { // returning a part beyond the prefix makes the next read overwrite the prefix
+	if part := u.pendingPart; part != nil { // after this part, which lies beyond the prefix, the body can't be sent again
 		u.pendingPart, u.isConsumed = nil, true
 		return part, nil
 	}
@@ -66,16 +67,16 @@
 	to := (*u.buffer)[u.prefixLen:PrefixSize]
 	isBeyondPrefix := len(to) == 0
 	switch {
-	case u.isConsumed: // the prefix is not needed any more, so the whole buffer is free
+	case u.isConsumed: // the body's first bytes are not kept any more, so the whole buffer is free
 		to = *u.buffer
 	case isBeyondPrefix:
 		to = (*u.buffer)[PrefixSize:]
 	}
 	n, err := u.readInto(to)
-	if u.received += int64(n); !isBeyondPrefix {
+	if u.receivedBytes += int64(n); !isBeyondPrefix {
 		u.prefixLen += n
 	}
-	u.recordReadError(err)
+	u.updateAfterRead(err)
 	switch {
 	case u.err != nil:
 		return nil, u.err
@@ -126,12 +127,12 @@
 	return nil
 }
 
-// recordReadError updates the state of the body after a read that returned err, which may be nil. At the body's end it clears the
+// updateAfterRead updates the state of the body after a read that returned err, which may be nil. At the body's end it clears the
 // read deadline: if the connection's background read timed out while the request waits for its response, net/http would take
 // the client for disconnected. u.mu is held.
-func (u *Upload) recordReadError(err error) {
+func (u *Upload) updateAfterRead(err error) {
 	switch {
-	case u.received > u.MaxBytes:
+	case u.receivedBytes > u.MaxBytes:
 		u.err = ErrTooLong
 	case errors.Is(err, io.EOF):
 		u.isComplete = true
--- a/internal/cluster/ordinal/ordinal.go
+++ b/internal/cluster/ordinal/ordinal.go
@@ -56,8 +56,8 @@
 	return len(names), max(slices.Index(names, v.Self), 0), nextUpdate
 }
 
-// recordView records which members of a view are present, drops those that have left, and records since when all other
-// counted members are missing.
+// recordView records which members of a view are present, and drops those that have left. For each other counted member, it
+// records since when the member is missing.
 func (t *Tracker) recordView(now time.Duration, v *swim.View) {
 	isKnown := make(map[string]bool, len(v.Members))
 	for _, m := range v.Members {
--- a/internal/cluster/status/call_test.go
+++ b/internal/cluster/status/call_test.go
@@ -41,7 +41,7 @@
 }
 
 // Guards against a retry that differs from the first request: the daemons recognize a repeated command only by its ID.
-func TestCallRepeatsTheSameRequestWhileNoMajorityResponds(t *testing.T) {
+func TestSendCommandRepeatsTheSameRequestWhileNoMajorityResponds(t *testing.T) {
 	indeterminate := "FAILURE wrapped: " + consensus.ErrIndeterminate.Error() + "\n"
 	addr, requests := serveResponses(t, indeterminate, indeterminate, "answer version=7 same=false\nEOT\n")
 	got, err := SendCommand(addr, []string{"put", "id", "-", "x", "0"}, nil, 10*time.Second)
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestCallReturnsIndeterminateErrorAfterRetryFor(t *testing.T) {
+func TestSendCommandReturnsIndeterminateErrorAfterRetryFor(t *testing.T) {
 	addr, requests := serveResponses(t, "FAILURE "+consensus.ErrIndeterminate.Error()+"\n")
 	_, err := SendCommand(addr, []string{"history"}, nil, 0)
 	var indeterminate IndeterminateError
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestCallReturnsOtherFailuresAtOnce(t *testing.T) {
+func TestSendCommandReturnsOtherFailuresAtOnce(t *testing.T) {
 	addr, requests := serveResponses(t, "FAILURE no such document\n")
 	_, err := SendCommand(addr, []string{"show", "x"}, nil, 10*time.Second)
 	var indeterminate IndeterminateError
--- a/internal/cluster/status/command.go
+++ b/internal/cluster/status/command.go
@@ -15,11 +15,11 @@
 	// bodyBytesPerLine is the number of bytes of a document's body that are encoded on one line.
 	bodyBytesPerLine = 6000
 
-	// callTimeout is the timeout of each request that Call sends: for connecting, and again for the exchange. A daemon
+	// requestTimeout is the timeout of each request that SendCommand sends: for connecting, and again for the exchange. A daemon
 	// responds within one second.
-	callTimeout = 2 * time.Second
+	requestTimeout = 2 * time.Second
 
-	// retryInterval is the pause between two requests that Call sends.
+	// retryInterval is the pause between two requests that SendCommand sends for one command.
 	retryInterval = 100 * time.Millisecond
 )
 
@@ -99,21 +99,21 @@
 	return err
 }
 
-// IndeterminateError is returned by Call for a command of which it is not known whether it was or will be carried out.
+// IndeterminateError is returned by SendCommand if it is not known whether the command was or will be carried out.
 type IndeterminateError struct{ error }
 
-// Unwrap returns the error of the last request that Call sent.
+// Unwrap returns the error of the last request that SendCommand sent.
 func (e IndeterminateError) Unwrap() error { return e.error }
 
 // SendCommand sends a command on the agreed documents to the daemon whose operators' address is addr. The command consists of the
 // arguments that follow "settings" on the request line, and the body of a put. While no majority of the voters responds,
-// Call retries with the same arguments, which must contain an ID if the command must not be carried out twice. It returns
+// SendCommand retries with the same arguments, which must contain an ID if the command must not be carried out twice. It returns
 // an IndeterminateError if there is no result within retryFor, and any other error at once.
 func SendCommand(addr string, args []string, body []byte, retryFor time.Duration) (*CommandResult, error) {
 	deadline := time.Now().Add(retryFor)
 	for {
 		r := &CommandResult{Format: 1}
-		err := query(addr, "settings "+strings.Join(args, " "), body, callTimeout, r.parseLine)
+		err := query(addr, "settings "+strings.Join(args, " "), body, requestTimeout, r.parseLine)
 		if err == nil {
 			return r, nil
 		}
--- a/internal/cluster/status/fleet.go
+++ b/internal/cluster/status/fleet.go
@@ -25,7 +25,7 @@
 	Name        string `json:"name"`        // name of the member
 	Address     string `json:"address"`     // address and port to which other daemons send messages
 	State       string `json:"state"`       // state of the member: alive, suspect, failed or left
-	Incarnation uint64 `json:"incarnation"` // swim.Update.Incarnation of the member
+	Incarnation uint64 `json:"incarnation"` // counter that the member increments to refute reports that it is suspect or failed
 	StateAgeMs  int64  `json:"since_ms"`    // time since the member entered its state, in milliseconds
 }
 
--- a/internal/cluster/status/settings.go
+++ b/internal/cluster/status/settings.go
@@ -15,11 +15,11 @@
 	LeaseMs            int64           `json:"lease_ms"`           // remaining time of this daemon's lease, in milliseconds; 0: it has expired
 	IsVoter            bool            `json:"votes"`              // whether this daemon runs a voter that is not a learner
 	IsLeader           bool            `json:"leads"`              // whether this daemon's voter takes itself for the leader
-	Leader             string          `json:"leader"`             // name of the voter to which this daemon sent its latest lease request, or that has granted it a lease since
+	Leader             string          `json:"leader"`             // name of the voter that granted this daemon its latest lease, or to which this daemon sent a lease request after that
 	CommittedVersion   uint64          `json:"committed"`          // latest version that this daemon's voter has applied; 0: it runs no voter
 	PendingVersion     uint64          `json:"coming"`             // version to be activated next, as far as this daemon's voter knows; 0: it runs no voter
 	Term               uint64          `json:"term"`               // latest raft term that this daemon's voter has seen; 0: it runs no voter
-	FullyActiveVersion uint64          `json:"all"`                // version before which no daemon of the cluster acts any more; 0: not known
+	FullyActiveVersion uint64          `json:"all"`                // oldest version on which a daemon of the cluster may still act; 0: not known
 	RejectedVersion    uint64          `json:"declined,omitempty"` // latest version on which this daemon can't act; 0: none
 	RejectionReason    string          `json:"why,omitempty"`      // why this daemon can't act on RejectedVersion
 	RejectedRequests   uint64          `json:"refused"`            // number of client requests that this daemon rejected because it had no valid lease
--- a/internal/cluster/swim/gossip.go
+++ b/internal/cluster/swim/gossip.go
@@ -54,14 +54,14 @@
 }
 
 // collect returns the updates to be piggybacked on a message: those in the parameter updates, then as many queued updates as
-// MaxPiggyback and maxPiggybackBytes allow. An update that has been sent transmitLimit times is removed from the queue.
+// MaxPiggybackedUpdates and maxPiggybackBytes allow. An update that has been sent transmitLimit times is removed from the queue.
 func (q *broadcastQueue) collect(transmitLimit int, updates []Update) []Update {
 	freeBytes := maxPiggybackBytes
 	for i := range updates {
 		freeBytes -= updates[i].maxEncodedBytes()
 	}
 	var requeued []*broadcast
-	for q.lowestTransmitCount < len(q.byTransmitCount) && len(updates) < MaxPiggyback {
+	for q.lowestTransmitCount < len(q.byTransmitCount) && len(updates) < MaxPiggybackedUpdates {
 		leastSent := q.byTransmitCount[q.lowestTransmitCount]
 		if len(leastSent) == 0 {
 			q.lowestTransmitCount++
--- a/internal/cluster/swim/indirectprobe.go
+++ b/internal/cluster/swim/indirectprobe.go
@@ -26,7 +26,7 @@
 // sendIndirectProbes requests other members to probe a target that has not responded in time. The member whose indirect
 // probe of this target succeeded last is among them.
 func (n *Node) sendIndirectProbes(seq uint64, p *probe) {
-	p.hasSentIndirect = true
+	p.hasSentPingReqs = true
 	probers := n.randomPresent(indirectProbeFanout, p.target)
 	lastProber := p.target.lastIndirectProber
 	if lastProber != nil && lastProber.State.IsPresent() && lastProber != p.target && len(probers) > 0 &&
--- a/internal/cluster/swim/localhealth.go
+++ b/internal/cluster/swim/localhealth.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// maxHealthScore is the worst local health score. With a maximum of 8 there would be as many false failure detections, and
-// the last remaining member of a cluster would take 13 s to detect the failure of all others.
+// maxHealthScore is the worst local health score. A maximum of 8 would not reduce the number of false failure detections, and
+// the last remaining member of a cluster would then take 13 s to detect the failure of all others.
 const maxHealthScore = 4
 
 // HealthScore returns the node's estimate of its own health (Lifeguard's local health multiplier): 0 is healthy,
--- a/internal/cluster/swim/membership.go
+++ b/internal/cluster/swim/membership.go
@@ -156,8 +156,8 @@
 func (n *Node) insertPresent(m *member) {
 	m.index = len(n.present)
 	n.present = append(n.present, m)
-	first := min(n.probeIndex, m.index)
-	swapMembers(n.present, first+n.rng.IntN(len(n.present)-first), m.index)
+	firstIndex := min(n.probeIndex, m.index)
+	swapMembers(n.present, firstIndex+n.rng.IntN(len(n.present)-firstIndex), m.index)
 }
 
 // removePresent removes a member from Node.present. Members that were already probed in the current probe round stay
--- a/internal/cluster/swim/message.go
+++ b/internal/cluster/swim/message.go
@@ -3,8 +3,8 @@
 import "net/netip"
 
 const (
-	// MaxPiggyback is the maximum number of updates piggybacked on one message.
-	MaxPiggyback = 24
+	// MaxPiggybackedUpdates is the maximum number of updates piggybacked on one message.
+	MaxPiggybackedUpdates = 24
 
 	// maxPiggybackBytes bounds the encoded size of the piggybacked updates, so that a message fits a datagram of 1,200 bytes.
 	maxPiggybackBytes = 800
@@ -39,7 +39,7 @@
 	Target           Peer     // process that a Ping or PingReq probes, or that responded if this is the Ack to a PingReq
 	Digest           uint64   // digest of the members that the sender considers present (Node.Digest)
 	GossipQueueEmpty bool     // whether the sender has no updates left to gossip
-	Updates          []Update // gossiped updates, at most MaxPiggyback; the sender's full state in a Sync or SyncReply
+	Updates          []Update // gossiped updates, at most MaxPiggybackedUpdates; the sender's full state in a Sync or SyncReply
 }
 
 // isValid reports whether a message's kind is declared, its sender and its updates are valid and have names, and the name
--- a/internal/cluster/swim/nameconflict.go
+++ b/internal/cluster/swim/nameconflict.go
@@ -72,7 +72,7 @@
 }
 
 // tickNameConflict sends a Ping to the other process with this node's name when one is due, and takes over the name when
-// that process has not responded to maxUnansweredConflictProbes of them.
+// that process has not responded to maxUnansweredConflictProbes Pings.
 func (n *Node) tickNameConflict(now time.Duration) {
 	c := n.conflict
 	if c == nil || now < c.nextProbe {
--- a/internal/cluster/swim/node.go
+++ b/internal/cluster/swim/node.go
@@ -44,18 +44,18 @@
 	// Fields of gossip and of the full state exchange (gossip.go and sync.go).
 	broadcasts broadcastQueue // updates to be gossiped
 	nextGossip time.Duration  // earliest instant of the next round of gossip
-	nextRejoin time.Duration  // instant at which an address without a present member is next pinged (rejoin)
+	nextRejoin time.Duration  // instant at which this node next pings the address of a failed member, or one in Options.Join that no present member has
 	lastSync   time.Duration  // instant at which this node last started a full state exchange; 0: never
 	outbox     []Envelope     // messages that the next call of TakeMessages returns
 
 	conflict *nameConflict // another process with this node's name; nil: none is known
 
 	// Fields of the view that the node reports (view.go).
-	connectivity         Connectivity  // connectivity that View reports; improvements are reported with a delay
-	improvedSince        time.Duration // instant since which the actual connectivity is better than the reported one; negative: it is not better
-	improvedConnectivity Connectivity  // worst actual connectivity since improvedSince
-	viewNumber           uint64        // Number of the current View, which grows with each change
-	changes              []Change      // member state changes that TakeChanges returns; at most maxPendingChanges
+	connectivity       Connectivity  // connectivity that View reports; improvements are reported with a delay
+	improvedSince      time.Duration // instant since which the actual connectivity has been at least worstSinceImproved; negative: it is not better than the reported one
+	worstSinceImproved Connectivity  // worst actual connectivity since it became better than the reported one; View reports this value if it lasts
+	viewNumber         uint64        // Number of the current View, which grows with each change
+	changes            []Change      // member state changes that TakeChanges returns; at most maxPendingChanges
 }
 
 // New returns a Node that starts at the instant now. Its first Tick pings one of the addresses in Options.Join.
@@ -104,7 +104,7 @@
 		next = min(next, n.nextGossip)
 	}
 	for _, p := range n.probes {
-		if !p.hasSentIndirect {
+		if !p.hasSentPingReqs {
 			next = min(next, p.indirectAt)
 		}
 		next = min(next, p.deadline)
--- a/internal/cluster/swim/options.go
+++ b/internal/cluster/swim/options.go
@@ -21,7 +21,7 @@
 	Seed           uint64           // seed of the random numbers, which cannot be reconfigured
 
 	ProbeInterval    time.Duration // time between the starts of two probes by a node
-	ProbeTimeout     time.Duration // time after which a probe without a response becomes indirect; at most half of ProbeInterval
+	ProbeTimeout     time.Duration // time after which other members are requested to probe a target that has not responded; at most half of ProbeInterval
 	SuspicionTimeout time.Duration // minimum suspicion timeout in a cluster of up to ten members; in a larger one it grows with the logarithm of the size
 
 	// Switches that turn off parts of Lifeguard, for simulations that measure their effect. The daemon sets none of them.
--- a/internal/cluster/swim/probe.go
+++ b/internal/cluster/swim/probe.go
@@ -10,7 +10,7 @@
 type probe struct {
 	target          *member       // member to which the Ping was sent
 	indirectAt      time.Duration // instant at which other members are requested to probe the target
-	hasSentIndirect bool          // whether other members were requested to probe the target
+	hasSentPingReqs bool          // whether other members were requested to probe the target
 	deadline        time.Duration // instant at which the probe fails if there is no Ack
 	expectedNacks   int           // number of members that were requested to probe the target; each sends an Ack or a Nack
 	receivedNacks   int           // number of Nacks received for the probe, at most expectedNacks
@@ -24,7 +24,7 @@
 		if now >= p.deadline {
 			delete(n.probes, seq)
 			n.handleFailedProbe(now, p)
-		} else if !p.hasSentIndirect && now >= p.indirectAt {
+		} else if !p.hasSentPingReqs && now >= p.indirectAt {
 			n.sendIndirectProbes(seq, p)
 		}
 	}
@@ -34,8 +34,8 @@
 	}
 }
 
-// startProbe sends a Ping to the next target, unless maxHealthScore+1 probes are already in flight: at the worst health
-// score a probe fails only after maxHealthScore+1 probe intervals.
+// startProbe sends a Ping to the next target, unless maxHealthScore+1 probes are already in flight. The limit allows one probe
+// in each interval even at the worst health score, at which a probe fails only after maxHealthScore+1 probe intervals.
 func (n *Node) startProbe(now time.Duration) {
 	if n.isYielding() || n.hasLeft || len(n.probes) > maxHealthScore {
 		return
--- a/internal/cluster/swim/suspicion.go
+++ b/internal/cluster/swim/suspicion.go
@@ -16,7 +16,7 @@
 	// minimum.
 	confirmationsForMinTimeout = 3
 
-	// expectedVerifiers is the mean number of members that probe a suspect at once when they learn of the suspicion.
+	// expectedVerifiers is the mean number of members that probe a suspect immediately after they learn of the suspicion.
 	expectedVerifiers = 6
 )
 
@@ -43,8 +43,8 @@
 	if s.neededConfirmations == 0 {
 		return s.start + s.minTimeout
 	}
-	fraction := math.Log(float64(len(s.suspectors))) / math.Log(float64(s.neededConfirmations+1))
-	shrunkTimeout := s.maxTimeout - time.Duration(fraction*float64(s.maxTimeout-s.minTimeout))
+	shrinkFraction := math.Log(float64(len(s.suspectors))) / math.Log(float64(s.neededConfirmations+1))
+	shrunkTimeout := s.maxTimeout - time.Duration(shrinkFraction*float64(s.maxTimeout-s.minTimeout))
 	return s.start + max(s.minTimeout, shrunkTimeout)
 }
 
--- a/internal/cluster/swim/swim_test.go
+++ b/internal/cluster/swim/swim_test.go
@@ -51,20 +51,20 @@
 // Checks the invariants of a node in all sequences of five events among three nodes. An event is a tick of a node, or the
 // delivery or loss of the oldest message in transit to that node.
 func TestInvariantsHoldInEveryOrderOfFiveEvents(t *testing.T) {
-	const depth, choices = 5, 9
-	orders := 1
-	for range depth {
-		orders *= choices
+	const eventsPerOrder, eventChoices = 5, 9
+	orderCount := 1
+	for range eventsPerOrder {
+		orderCount *= eventChoices
 	}
 	checkedOrders := 0
-	for order := range orders {
+	for order := range orderCount {
 		network := newTestNetwork(3)
 		network.now += 400 * time.Millisecond
-		remainingEvents := order // numbers of the events yet to run, as digits in base choices
-		for range depth {
+		remainingEvents := order // numbers of the events yet to run: the digits of order in the number system with base eventChoices
+		for range eventsPerOrder {
 			network.now += 350 * time.Millisecond
-			network.runEvent(t, remainingEvents%choices)
-			remainingEvents /= choices
+			network.runEvent(t, remainingEvents%eventChoices)
+			remainingEvents /= eventChoices
 		}
 		if order%97 == 0 { // checking convergence after every order would take minutes
 			network.requireConvergence(t)
--- a/internal/cluster/swim/sync.go
+++ b/internal/cluster/swim/sync.go
@@ -13,8 +13,8 @@
 const membersPerSyncInterval = 32
 
 // syncIfViewsDiffer starts a full state exchange with the sender of the Ack m if the digest in m differs from this node's
-// digest. It does nothing while either node has updates left to gossip, unless the sender was not present before it sent m
-// (senderWasAbsent).
+// digest. While either node has updates left to gossip, it starts an exchange only if this node did not consider the sender
+// present before it received m (senderWasAbsent).
 func (n *Node) syncIfViewsDiffer(now time.Duration, m *Message, senderWasAbsent bool) {
 	if m.Digest == n.digest || n.isYielding() || n.hasLeft {
 		return
@@ -22,11 +22,11 @@
 	if !senderWasAbsent && (!m.GossipQueueEmpty || n.broadcasts.hasPending()) {
 		return
 	}
-	interval := n.options.ProbeInterval
-	if factor := len(n.present) / membersPerSyncInterval; factor > 0 {
-		interval *= time.Duration(factor)
+	syncInterval := n.options.ProbeInterval
+	if probeIntervals := len(n.present) / membersPerSyncInterval; probeIntervals > 0 {
+		syncInterval *= time.Duration(probeIntervals)
 	}
-	if n.lastSync != 0 && now-n.lastSync < interval {
+	if n.lastSync != 0 && now-n.lastSync < syncInterval {
 		return
 	}
 	n.lastSync = now
--- a/internal/cluster/swim/testnetwork_test.go
+++ b/internal/cluster/swim/testnetwork_test.go
@@ -27,19 +27,19 @@
 
 	// The keys of maxIncarnation and leftIncarnation consist of the generation of a node and the name of a member that the
 	// node knows.
-	maxIncarnation  map[string]uint64 // highest incarnation that the member has had in the node's views
-	leftIncarnation map[string]uint64 // incarnation in which the member left according to the node's views
+	maxIncarnation  map[string]uint64 // highest incarnation of a member in the views of one node
+	leftIncarnation map[string]uint64 // incarnation in which a member left the cluster, according to the views of one node
 }
 
 // newTestNetwork returns a network of size nodes that all know one another.
 func newTestNetwork(size int) *testNetwork {
 	network := &testNetwork{now: time.Hour, maxIncarnation: map[string]uint64{}, leftIncarnation: map[string]uint64{}}
-	var known []Update
+	var knownMembers []Update
 	for i := range size {
-		known = append(known, Update{Peer: testPeer(i), Incarnation: 1})
+		knownMembers = append(knownMembers, Update{Peer: testPeer(i), Incarnation: 1})
 	}
 	for i := range size {
-		network.nodes = append(network.nodes, New(network.now, Options{Self: testPeer(i), InitialMembers: known, Seed: uint64(i)}))
+		network.nodes = append(network.nodes, New(network.now, Options{Self: testPeer(i), InitialMembers: knownMembers, Seed: uint64(i)}))
 	}
 	return network
 }
@@ -69,8 +69,8 @@
 func (network *testNetwork) collectAndCheck(t testingT, n *Node) {
 	t.Helper()
 	for _, e := range n.TakeMessages() {
-		if len(e.Message.Updates) > MaxPiggyback+1 && !e.NeedsStream {
-			t.Fatalf("%d updates are piggybacked on a message, want at most %d", len(e.Message.Updates), MaxPiggyback+1)
+		if len(e.Message.Updates) > MaxPiggybackedUpdates+1 && !e.NeedsStream {
+			t.Fatalf("%d updates are piggybacked on a message, want at most %d", len(e.Message.Updates), MaxPiggybackedUpdates+1)
 		}
 		network.inTransit = append(network.inTransit, e)
 	}
@@ -82,8 +82,8 @@
 		network.maxIncarnation[key] = m.Incarnation
 		if m.State == Left {
 			network.leftIncarnation[key] = m.Incarnation
-		} else if left, ok := network.leftIncarnation[key]; ok && m.Incarnation <= left {
-			t.Fatalf("%s considers %s %v in incarnation %d, after it left in incarnation %d", n.self.Name, m.Name, m.State, m.Incarnation, left)
+		} else if leftIncarnation, ok := network.leftIncarnation[key]; ok && m.Incarnation <= leftIncarnation {
+			t.Fatalf("%s considers %s %v in incarnation %d, after it left in incarnation %d", n.self.Name, m.Name, m.State, m.Incarnation, leftIncarnation)
 		}
 	}
 	checkMembershipTable(t, n)
@@ -92,7 +92,7 @@
 // checkMembershipTable checks that a node's lists, counts and digest agree with its members.
 func checkMembershipTable(t testingT, n *Node) {
 	t.Helper()
-	digest, present, failed := n.self.digest(), 0, 0
+	digest, presentCount, failedCount := n.self.digest(), 0, 0
 	for name, m := range n.members {
 		if m.Name != name {
 			t.Fatalf("members has %s under the name %s", m.Name, name)
@@ -102,27 +102,27 @@
 		}
 		switch {
 		case m.State.IsPresent():
-			present++
+			presentCount++
 			digest ^= m.digest()
 			if n.present[m.index] != m {
 				t.Fatalf("%s is not at its index of the present members", name)
 			}
 		case m.State == Failed:
-			failed++
+			failedCount++
 			if n.failed[m.index] != m {
 				t.Fatalf("%s is not at its index of the failed members", name)
 			}
 		}
 	}
-	addrs := 0
+	addrCount := 0
 	for _, count := range n.presentAddrs {
-		addrs += count
+		addrCount += count
 	}
-	if present != len(n.present) || failed != len(n.failed) || addrs != present || digest != n.digest ||
+	if presentCount != len(n.present) || failedCount != len(n.failed) || addrCount != presentCount || digest != n.digest ||
 		n.probeIndex > len(n.present) {
 		t.Fatalf("lists have %d present and %d failed members, want %d and %d; %d addresses, want %d; digest %x, want %x; "+
 			"probe index %d, want at most %d",
-			len(n.present), len(n.failed), present, failed, addrs, present, n.digest, digest, n.probeIndex, len(n.present))
+			len(n.present), len(n.failed), presentCount, failedCount, addrCount, presentCount, n.digest, digest, n.probeIndex, len(n.present))
 	}
 }
 
--- a/internal/cluster/swim/update.go
+++ b/internal/cluster/swim/update.go
@@ -17,7 +17,7 @@
 // The states of a member, in the order in which they override one another within one incarnation.
 const (
 	Alive      State = iota // the member is not suspected of having failed
-	Suspect                 // another member's probe of the member failed; the member can still refute the suspicion
+	Suspect                 // a probe of the member by another member failed; the suspected member can still refute the suspicion
 	Failed                  // the member did not refute a suspicion in time
 	Left                    // the member announced that it leaves the cluster, which is not a failure
 	stateCount              // number of declared states
--- a/internal/cluster/swim/view.go
+++ b/internal/cluster/swim/view.go
@@ -103,11 +103,11 @@
 		n.connectivity, n.improvedSince = current, -1
 		n.viewNumber++
 		return
-	case n.improvedSince < 0 || current < n.improvedConnectivity:
-		n.improvedSince, n.improvedConnectivity = now, current
+	case n.improvedSince < 0 || current < n.worstSinceImproved:
+		n.improvedSince, n.worstSinceImproved = now, current
 	}
 	if now-n.improvedSince >= connectivityHoldIntervals*n.options.ProbeInterval {
-		n.connectivity, n.improvedSince = n.improvedConnectivity, -1
+		n.connectivity, n.improvedSince = n.worstSinceImproved, -1
 		n.viewNumber++
 	}
 }
--- a/internal/cluster/transport/authentication.go
+++ b/internal/cluster/transport/authentication.go
@@ -40,7 +40,7 @@
 	swimMessage *swim.Message // message of the failure detector; nil if message is set
 	message     *Message      // message that another daemon sent with Send
 	generation  uint64        // swim.Peer.Generation of the sending process
-	sequence    uint64        // sequence number of the packet among those of the sending process
+	sequence    uint64        // sequence number of the packet among the packets of the sending process
 }
 
 // appendSwimPacket appends a packet with a message of the failure detector to b.
--- a/internal/cluster/transport/authentication_test.go
+++ b/internal/cluster/transport/authentication_test.go
@@ -88,18 +88,18 @@
 	node.Receive(0, &swim.Message{Kind: swim.Sync, From: sender, Updates: updates})
 
 	options := &Options{Cluster: longName, Keys: Keys{newKey(secret)}}
-	maxBytes := 0
+	longestDatagramBytes := 0
 	for now := time.Duration(0); now < 10*time.Second; now += 10 * time.Millisecond {
 		node.Tick(now)
 		node.NextTick()
 		for _, e := range node.TakeMessages() {
 			if !e.NeedsStream {
-				maxBytes = max(maxBytes, len(appendSwimPacket(nil, options, 1<<63, e.Message)))
+				longestDatagramBytes = max(longestDatagramBytes, len(appendSwimPacket(nil, options, 1<<63, e.Message)))
 			}
 		}
 	}
-	if maxBytes > MaxDatagramBytes || maxBytes < MaxDatagramBytes/2 {
-		t.Errorf("longest datagram has %d bytes, want %d to %d", maxBytes, MaxDatagramBytes/2, MaxDatagramBytes)
+	if longestDatagramBytes > MaxDatagramBytes || longestDatagramBytes < MaxDatagramBytes/2 {
+		t.Errorf("longest datagram has %d bytes, want %d to %d", longestDatagramBytes, MaxDatagramBytes/2, MaxDatagramBytes)
 	}
 }
 
@@ -112,7 +112,7 @@
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, body []byte) {
 		header := append([]byte(packetMagic), packetVersion, 0, 0, 0, 0)
-		got, err := openPacket(append(header, body...), unsigned, swim.MaxPiggyback)
+		got, err := openPacket(append(header, body...), unsigned, swim.MaxPiggybackedUpdates)
 		if err != nil {
 			return
 		}
@@ -123,7 +123,7 @@
 			}
 			return
 		}
-		reparsed, err := openPacket(appendSwimPacket(nil, signed, got.sequence, got.swimMessage), signed, swim.MaxPiggyback)
+		reparsed, err := openPacket(appendSwimPacket(nil, signed, got.sequence, got.swimMessage), signed, swim.MaxPiggybackedUpdates)
 		if err != nil || reparsed.sequence != got.sequence || fmt.Sprintf("%+v", got.swimMessage) != fmt.Sprintf("%+v", reparsed.swimMessage) {
 			t.Errorf("parsed again as %+v, want %+v; error %v", reparsed.swimMessage, got.swimMessage, err)
 		}
--- a/internal/cluster/transport/datagrams.go
+++ b/internal/cluster/transport/datagrams.go
@@ -21,7 +21,7 @@
 // readDatagrams receives datagrams until the transport ends.
 func (t *Transport) readDatagrams() {
 	b := make([]byte, MaxDatagramBytes+1) // one byte longer than MaxDatagramBytes, so that a too long datagram is recognized
-	limiter := sourceLimiter{counts: map[netip.Addr]int{}}
+	limiter := sourceLimiter{datagramCounts: map[netip.Addr]int{}}
 	for {
 		n, from, err := t.udpConn.ReadFromUDPAddrPort(b)
 		switch {
@@ -34,7 +34,7 @@
 		case n > MaxDatagramBytes:
 			t.dropped.count(errMalformed)
 		default:
-			t.receive(b[:n], swim.MaxPiggyback+1)
+			t.receive(b[:n], swim.MaxPiggybackedUpdates+1)
 		}
 	}
 }
@@ -50,19 +50,19 @@
 
 // sourceLimiter limits the number of datagrams from each source address in consecutive windows of one second.
 type sourceLimiter struct {
-	windowStart time.Time          // start of the current window of one second
-	counts      map[netip.Addr]int // datagrams in the current window by source address; the zero address counts those of untracked sources
+	windowStart    time.Time          // start of the current window of one second
+	datagramCounts map[netip.Addr]int // datagrams in the current window by source address; the zero address counts those of untracked sources
 }
 
 // allow counts a datagram, and reports whether its source has sent at most maxDatagramsPerSource in the current window.
 func (s *sourceLimiter) allow(now time.Time, source netip.Addr) bool {
 	if now.Sub(s.windowStart) >= time.Second {
 		s.windowStart = now
-		clear(s.counts)
+		clear(s.datagramCounts)
 	}
-	if _, isTracked := s.counts[source]; !isTracked && len(s.counts) >= maxTrackedSources {
+	if _, isTracked := s.datagramCounts[source]; !isTracked && len(s.datagramCounts) >= maxTrackedSources {
 		source = netip.Addr{}
 	}
-	s.counts[source]++
-	return s.counts[source] <= maxDatagramsPerSource
+	s.datagramCounts[source]++
+	return s.datagramCounts[source] <= maxDatagramsPerSource
 }
--- a/internal/cluster/transport/delivery.go
+++ b/internal/cluster/transport/delivery.go
@@ -10,7 +10,7 @@
 
 // Messages returns the channel of messages that other daemons sent with Send. The channel holds at most
 // messageQueueCapacity messages; further messages are dropped and counted. If two processes have the same name, only the
-// messages of the one that the view has as a member are delivered, and those of the other are dropped.
+// process that is a member in the latest view has its messages delivered; messages of the other process are dropped.
 func (t *Transport) Messages() <-chan Message { return t.messages }
 
 // Send sends a message to the member with the given name. An error means that the message was not sent; it is
--- a/internal/cluster/transport/delivery_test.go
+++ b/internal/cluster/transport/delivery_test.go
@@ -91,9 +91,9 @@
 		"unsigned though keys are in use": {encodePacket("c"), func(m Metrics) uint64 { return m.Unauthenticated }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			before := row.count(a.Metrics())
+			countBefore := row.count(a.Metrics())
 			send(row.datagram)
-			testpeer.Eventually(t, "the packet is counted", func() bool { return row.count(a.Metrics()) == before+1 })
+			testpeer.Eventually(t, "the packet is counted", func() bool { return row.count(a.Metrics()) == countBefore+1 })
 		})
 	}
 	if state := stateOf(a, "x"); state != "unknown" {
@@ -110,10 +110,10 @@
 		}
 		return a.Metrics().RateLimited > 1000
 	})
-	before := a.Metrics().Received
+	receivedBefore := a.Metrics().Received
 	testpeer.Eventually(t, "packets of b are still received", func() bool {
 		send(alteredPacket)
-		return a.Metrics().Received > before+5 && stateOf(a, "b") == "alive"
+		return a.Metrics().Received > receivedBefore+5 && stateOf(a, "b") == "alive"
 	})
 }
 
--- a/internal/cluster/transport/eventloop.go
+++ b/internal/cluster/transport/eventloop.go
@@ -75,7 +75,7 @@
 	view := node.View()
 	t.view.Store(&view)
 	select {
-	case t.changed <- struct{}{}:
+	case t.viewChanged <- struct{}{}:
 	default:
 	}
 }
@@ -103,8 +103,8 @@
 	for _, c := range l.node.TakeChanges() {
 		l.logChange(now, c)
 	}
-	isDue := now-l.publishedAt >= minViewInterval || len(l.transport.View().Members) < largeClusterMembers
-	if l.hasUnpublishedView() && isDue {
+	mayPublish := now-l.publishedAt >= minViewInterval || len(l.transport.View().Members) < largeClusterMembers
+	if l.hasUnpublishedView() && mayPublish {
 		l.publishedAt = now
 		l.transport.publish(l.node)
 	}
@@ -115,7 +115,7 @@
 // send sends a message of the failure detector, in a datagram if it fits and otherwise in a stream.
 func (l *eventLoop) send(e *swim.Envelope) {
 	t, options := l.transport, l.transport.options.Load()
-	if !e.NeedsStream || len(e.Message.Updates) <= swim.MaxPiggyback {
+	if !e.NeedsStream || len(e.Message.Updates) <= swim.MaxPiggybackedUpdates {
 		l.packetBuffer = appendSwimPacket(l.packetBuffer[:0], options, t.lastSequence.Add(1), e.Message)
 		if len(l.packetBuffer) <= MaxDatagramBytes {
 			_ = t.sendDatagram(e.To, l.packetBuffer) // the failure detector tolerates lost messages
--- a/internal/cluster/transport/metrics.go
+++ b/internal/cluster/transport/metrics.go
@@ -11,7 +11,7 @@
 	Sent            uint64 // packets sent without an error
 	BytesSent       uint64 // total length of the packets sent, in bytes
 	Malformed       uint64 // packets dropped because they were malformed, too long or truncated
-	Foreign         uint64 // packets dropped because of another format version or cluster, or a sending process that is not the member with its name
+	Foreign         uint64 // packets dropped because they had another format version, or came from another cluster or from a process that is no member in the view
 	Unauthenticated uint64 // packets dropped because they were signed with an unknown key, or altered
 	Replayed        uint64 // packets dropped because they were received before, or were older than the replay window
 	RateLimited     uint64 // packets dropped because their source address exceeded its rate limit
--- a/internal/cluster/transport/replay.go
+++ b/internal/cluster/transport/replay.go
@@ -11,22 +11,23 @@
 
 // replayWindow is a sliding window over the sequence numbers of one process (cf. RFC 4303, section 3.4.3).
 type replayWindow struct {
-	highest      uint64                    // highest sequence number received from the process
-	receivedBits [replayWindowWords]uint64 // ring of bits: whether each of the replayWindowBits sequence numbers up to highest was received
+	highestSequence uint64                    // highest sequence number received from the process
+	receivedBits    [replayWindowWords]uint64 // ring of bits: whether each of the replayWindowBits sequence numbers up to highestSequence was received
 }
 
 // accept marks a sequence number as received, and reports whether it is received for the first time. It returns false for
 // a number that is older than the window.
 func (w *replayWindow) accept(sequence uint64) bool {
-	if sequence+replayWindowBits <= w.highest {
+	if sequence+replayWindowBits <= w.highestSequence {
 		return false
 	}
-	// Clear the bits of the numbers from highest+1 to sequence. They still belong to numbers that are now older than the window.
-	for ; w.highest < sequence && sequence-w.highest <= replayWindowBits; w.highest++ {
-		w.clearBit(w.highest + 1)
+	// Clear the bits of the numbers from highestSequence+1 to sequence. So far, these bits stood for numbers that are now older
+	// than the window.
+	for ; w.highestSequence < sequence && sequence-w.highestSequence <= replayWindowBits; w.highestSequence++ {
+		w.clearBit(w.highestSequence + 1)
 	}
-	if w.highest < sequence { // sequence is more than a window ahead of highest: all bits are outdated
-		*w = replayWindow{highest: sequence}
+	if w.highestSequence < sequence { // sequence is more than a window ahead of highestSequence: all bits are outdated
+		*w = replayWindow{highestSequence: sequence}
 	}
 	word, bit := &w.receivedBits[sequence/64%replayWindowWords], uint64(1)<<(sequence%64)
 	isFirst := *word&bit == 0
--- a/internal/cluster/transport/transport.go
+++ b/internal/cluster/transport/transport.go
@@ -58,7 +58,7 @@
 	eventLoopCalls chan func(now time.Duration, node *swim.Node) // functions that the event loop is to call
 	messages       chan Message                                  // received messages that other daemons sent with Send, for the users of Messages
 	view           atomic.Pointer[swim.View]                     // latest view that the event loop has published
-	changed        chan struct{}                                 // holds a value if the view has changed since the last receive from the channel
+	viewChanged    chan struct{}                                 // holds a value if the view has changed since the last receive from the channel
 
 	lastSequence    atomic.Uint64 // sequence number of the latest packet that this process encoded
 	outboundStreams chan struct{} // holds a value for each outgoing stream that is open, at most maxStreams
@@ -99,7 +99,7 @@
 		inbox:           make(chan *swim.Message, inboxCapacity),
 		eventLoopCalls:  make(chan func(time.Duration, *swim.Node)),
 		messages:        make(chan Message, messageQueueCapacity),
-		changed:         make(chan struct{}, 1),
+		viewChanged:     make(chan struct{}, 1),
 		outboundStreams: make(chan struct{}, maxStreams),
 	}
 	t.options.Store(&options)
@@ -127,7 +127,7 @@
 func (t *Transport) View() *swim.View { return t.view.Load() }
 
 // Changed returns a channel that holds a value if the view has changed since the last receive from the channel.
-func (t *Transport) Changed() <-chan struct{} { return t.changed }
+func (t *Transport) Changed() <-chan struct{} { return t.viewChanged }
 
 // Reconfigure replaces Keys, Join, Voters and Timing. The other options stay as they were passed to Start.
 func (t *Transport) Reconfigure(options Options) {
--- a/internal/cluster/transport/transport_test.go
+++ b/internal/cluster/transport/transport_test.go
@@ -110,9 +110,9 @@
 func TestStartErrorNamesTheConfigurationField(t *testing.T) {
 	unsignedOptions := testOptions("a")
 	unsignedOptions.Keys, unsignedOptions.Listen = nil, netip.MustParseAddrPort("0.0.0.0:0")
-	inUseOptions := testOptions("a")
-	inUseOptions.Listen = startTransport(t, testOptions("b")).Addr()
-	for name, options := range map[string]Options{"no key and no loopback address": unsignedOptions, "address in use": inUseOptions} {
+	addressInUseOptions := testOptions("a")
+	addressInUseOptions.Listen = startTransport(t, testOptions("b")).Addr()
+	for name, options := range map[string]Options{"no key and no loopback address": unsignedOptions, "address in use": addressInUseOptions} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := Start(options); err == nil || !strings.Contains(err.Error(), "fleet.listen") {
 				t.Errorf("got error %v, want one that contains \"fleet.listen\"", err)
