--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -34,7 +34,8 @@
 	MaxStreamDuration time.Duration `toml:"flow_most"`      // how long a body may stream, in each direction
 	DeadlineScope     string        `toml:"deadline_rules"` // part of a request that its deadline covers: "waits" or "all"
 
-	// ForbidsBody is whether requests with a body are rejected. It is set only for the platform, whose contract demands it.
+	// ForbidsBody is whether requests with a body are rejected. It is set only in classes from the platform's configuration: the
+	// platform requires it for idempotent requests, whose method is GET.
 	ForbidsBody bool
 }
 
@@ -66,12 +67,13 @@
 	maxStreamDuration = 24 * time.Hour
 )
 
-// IdempotencyByName maps the values of the field effect to the balancer's values. It must not be modified.
+// IdempotencyByName maps the values of the field effect in an operators' file to constants of package balance. It must not be
+// modified.
 var IdempotencyByName = map[string]balance.Idempotency{
 	"safe": balance.Idempotent, "keyed": balance.IdempotencyKey, "unsafe": balance.NonIdempotent,
 }
 
-// dedupScopes maps the values of the field group to the balancer's values.
+// dedupScopes maps the values of the field group in an operators' file to constants of package balance.
 var dedupScopes = map[string]balance.DedupScope{"all": balance.ScopeAll, "zone": balance.ScopeZone, "cell": balance.ScopeCell}
 
 // Values of the fields effect and group that this package compares with or sets. IdempotencyByName and dedupScopes have all values.
@@ -120,14 +122,14 @@
 // check returns an error for the first invalid field of the class. table is the full name of its section, for errors. names has the
 // names of the classes that were checked before; check adds the name of this class.
 func (c *Class) check(tomlFile *tomlfile.File, table string, names uniqueNames) error {
-	_, isIdempotency := IdempotencyByName[c.Idempotency]
-	_, isDedupScope := dedupScopes[c.DedupScope]
+	_, isKnownIdempotency := IdempotencyByName[c.Idempotency]
+	_, isKnownDedupScope := dedupScopes[c.DedupScope]
 	return tomlFile.Check(table, []tomlfile.Requirement{
 		tomlfile.Require("name", names.add(c.Name), "a unique name"),
-		tomlfile.Require("effect", isIdempotency, `"safe", "keyed" or "unsafe"`),
+		tomlfile.Require("effect", isKnownIdempotency, `"safe", "keyed" or "unsafe"`),
 		tomlfile.Require("window", (c.DedupWindow > 0) == (c.Idempotency == idempotencyKeyed),
 			`over 0 if effect is "keyed", and left out otherwise`),
-		tomlfile.Require("group", isDedupScope, `"all", "zone" or "cell"`),
+		tomlfile.Require("group", isKnownDedupScope, `"all", "zone" or "cell"`),
 		tomlfile.Require("deadline", c.Deadline > 0, "over 0"),
 		tomlfile.Require("deadline_most", c.MaxDeadline >= c.Deadline && c.MaxDeadline <= maxDeadline,
 			"from deadline to 1h"),
--- a/internal/config/cluster_spec.go
+++ b/internal/config/cluster_spec.go
@@ -41,7 +41,7 @@
 		Name: c.Name, ClusterName: c.ClusterName, Listen: netip.MustParseAddrPort(c.Listen), KeyFile: c.KeyFile,
 		Voters:             slices.Clone(c.Voters),
 		Timing:             swim.Options{ProbeInterval: c.ProbeInterval, ProbeTimeout: c.ProbeTimeout, SuspicionTimeout: c.SuspicionTimeout},
-		SharesByMembership: f.dividesByMembership,
+		SharesByMembership: f.sharesByMembership,
 	}
 	if c.Advertise != "" {
 		spec.Advertise = netip.MustParseAddrPort(c.Advertise)
@@ -55,11 +55,13 @@
 	return spec
 }
 
-// leaseConfig returns the durations of leases for which no two daemons act on contradicting versions for longer than MaxConflict.
+// leaseConfig returns the settings of leases. It makes leases so short while a version is pending that no two daemons act on
+// contradicting versions for longer than MaxConflictDuration.
 func (c *Cluster) leaseConfig() consensus.LeaseConfig {
-	// shortDuration is the time that a clock measures while MaxConflict passes, if the clock is slow by MaxClockDrift.
-	shortDuration := time.Duration(float64(c.MaxConflict) * (1 - c.MaxClockDrift))
-	return consensus.LeaseConfig{Duration: c.LeaseDuration, MaxClockDrift: c.MaxClockDrift, ShortDuration: shortDuration}
+	// pendingLeaseDuration is the duration of a lease while a version is pending: the time that a clock measures while
+	// MaxConflictDuration passes, if the clock is slow by MaxClockDrift.
+	pendingLeaseDuration := time.Duration(float64(c.MaxConflictDuration) * (1 - c.MaxClockDrift))
+	return consensus.LeaseConfig{Duration: c.LeaseDuration, MaxClockDrift: c.MaxClockDrift, ShortDuration: pendingLeaseDuration}
 }
 
 // String describes the cluster in one line, as the command check prints it. Scripts that run check may match this text.
--- a/internal/config/daemon.go
+++ b/internal/config/daemon.go
@@ -20,12 +20,12 @@
 
 // Daemon is the section [daemon] of an operators' file: settings of the process as a whole.
 type Daemon struct {
-	Name     string  `toml:"name"`
-	Count    int     `toml:"daemons"`   // number of daemons that share the pools, including this one
-	Index    int     `toml:"index"`     // index of this daemon among those that share the pools, from 0
-	Seed     uint64  `toml:"seed"`      // seed of the balancer's random choices; 0 to draw one at the start
-	Cores    float64 `toml:"cores"`     // CPU cores to use; 0 for as many as the system provides
-	MemoryMB int     `toml:"memory_mb"` // memory limit in MiB; 0 for no limit
+	Name        string  `toml:"name"`
+	DaemonCount int     `toml:"daemons"`   // number of daemons that share the pools, including this one
+	Index       int     `toml:"index"`     // index of this daemon among those that share the pools, from 0
+	Seed        uint64  `toml:"seed"`      // seed of the balancer's random choices; 0 to draw one at the start
+	Cores       float64 `toml:"cores"`     // CPU cores to use; 0 for as many as the system provides
+	MemoryMB    int     `toml:"memory_mb"` // memory limit in MiB; 0 for no limit
 
 	AdminAddr string `toml:"admin_addr"` // host:port to listen on for operators' commands; empty for none
 
@@ -37,15 +37,15 @@
 	setIfEmpty(&d.Name, defaultName)
 	setDefault(tomlFile, "daemon.body_memory_mb", &d.BodyMemoryMB, defaultBodyMemoryMB)
 	setDefault(tomlFile, "daemon.drain_timeout", &d.DrainTimeout, defaultDrainTimeout)
-	setDefault(tomlFile, "daemon.daemons", &d.Count, 1)
+	setDefault(tomlFile, "daemon.daemons", &d.DaemonCount, 1)
 }
 
 func (f *File) checkDaemon(tomlFile *tomlfile.File) error {
 	d := f.Daemon
 	return tomlFile.Check("daemon", []tomlfile.Requirement{
 		tomlfile.Require("name", isHeaderName(d.Name), "letters, digits and dashes"),
-		tomlfile.Require("daemons", d.Count >= 1 && d.Count <= maxDaemons, "from 1 to 100000"),
-		tomlfile.Require("index", d.Index >= 0 && d.Index < d.Count, "from 0, and under daemons"),
+		tomlfile.Require("daemons", d.DaemonCount >= 1 && d.DaemonCount <= maxDaemons, "from 1 to 100000"),
+		tomlfile.Require("index", d.Index >= 0 && d.Index < d.DaemonCount, "from 0, and under daemons"),
 		tomlfile.Require("cores", d.Cores >= 0, "0 or more"),
 		tomlfile.Require("body_memory_mb", d.BodyMemoryMB >= 1 && d.BodyMemoryMB <= maxBodyMemoryMB,
 			fmt.Sprintf("from 1 to %d", maxBodyMemoryMB)),
--- a/internal/config/documents.go
+++ b/internal/config/documents.go
@@ -125,7 +125,7 @@
 			return nil, err
 		}
 		merged = *shared
-		merged.Daemon, merged.Cluster, merged.Listener, merged.dividesByMembership = f.Daemon, f.Cluster, f.Listener, f.dividesByMembership
+		merged.Daemon, merged.Cluster, merged.Listener, merged.sharesByMembership = f.Daemon, f.Cluster, f.Listener, f.sharesByMembership
 	}
 	merged.agreedMembers = map[string][]Member{}
 	for name, body := range docs {
--- a/internal/config/documents_test.go
+++ b/internal/config/documents_test.go
@@ -33,8 +33,8 @@
 class = "look"
 `
 
-// agreedList is the document with the members of the pool p.
-const agreedList = `{"format":1,"members":[{"address":"127.0.0.1:7","state":"draining"}]}`
+// agreedMembersDocument is the document with the members of the pool p.
+const agreedMembersDocument = `{"format":1,"members":[{"address":"127.0.0.1:7","state":"draining"}]}`
 
 // parseFile parses an operators' file, given without the line "format = 1".
 func parseFile(t *testing.T, text string) *File {
@@ -64,7 +64,7 @@
 	if s := file.Service(); !s.RejectsWhenIndeterminate || len(s.Pools[0].Source.Members) != 1 {
 		t.Errorf("without documents: %+v, want rejection when indeterminate and one fixed member", s)
 	}
-	updated, err := file.WithDocuments(map[string][]byte{SharedDocument: shared, MembersPrefix + "p": []byte(agreedList), "flag/x": []byte("1"), "out/e": nil})
+	updated, err := file.WithDocuments(map[string][]byte{SharedDocument: shared, MembersPrefix + "p": []byte(agreedMembersDocument), "flag/x": []byte("1"), "out/e": nil})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestCheckDocumentsRejectsUnknownAndMalformed(t *testing.T) {
+func TestCheckDocumentsRejectsUnknownAndMalformedDocuments(t *testing.T) {
 	file := parseFile(t, localPart+sharedPart)
 	for name, body := range map[string]string{
 		"":          "",
@@ -143,7 +143,7 @@
 	}
 }
 
-func TestAgreedMembersAndRejectionNeedConsensus(t *testing.T) {
+func TestAgreedMembersAndRejectingWhenIndeterminateNeedConsensus(t *testing.T) {
 	withoutConsensus := replaceOnce(t, localPart, "agreed = true\n", "")
 	for name, shared := range map[string]string{
 		"unsure and members": sharedPart,
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -27,9 +27,9 @@
 	Route    []Route    `toml:"route"`
 	Shared   Shared     `toml:"shared"`
 
-	table               *route.Table        // routes compiled from the sections [[route]], in the order of the file
-	dividesByMembership bool                // the cluster's membership determines daemon.daemons and daemon.index
-	agreedMembers       map[string][]Member // agreed lists for pools with members = "agreed", by the pool's name
+	table              *route.Table        // routes compiled from the sections [[route]], in the order of the file
+	sharesByMembership bool                // the cluster's membership determines daemon.daemons and daemon.index
+	agreedMembers      map[string][]Member // agreed lists for pools with members = "agreed", by the pool's name
 }
 
 // Read reads and checks an operators' file. If the file can't be read, the error is that of os.ReadFile; an error in its
--- a/internal/config/file_service.go
+++ b/internal/config/file_service.go
@@ -8,18 +8,18 @@
 	"tuliprock/internal/body"
 )
 
-// fileOperatorConnections is the maximum number of operators' connections. The number is
+// fileMaxOperatorConnections is the maximum number of operators' connections. The number is
 // fixed, since an operators' file sets no limit on file descriptors from which the number could be computed.
-const fileOperatorConnections = 32
+const fileMaxOperatorConnections = 32
 
-// timerResolution is how late events and timers may arrive at the balancer: the delay of a timer on an ordinary, busy machine.
-const timerResolution = 5 * time.Millisecond
+// maxTimerDelay is how late events and timers may arrive at the balancer: the delay of a timer on an ordinary, busy machine.
+const maxTimerDelay = 5 * time.Millisecond
 
 // Service converts the file to a Service, which shares the file's slices and classes.
 func (f *File) Service() Service {
 	s := Service{
 		Name: f.Daemon.Name, File: f, Listeners: f.Listener, Table: f.table, Cluster: f.clusterSpec(),
-		AdminAddress: f.Daemon.AdminAddr, OperatorConnections: f.operatorConnections(),
+		AdminAddress: f.Daemon.AdminAddr, OperatorConnections: f.maxOperatorConnections(),
 		Limits:                   Limits{Cores: f.Daemon.Cores, MemoryMB: f.Daemon.MemoryMB},
 		RejectsWhenIndeterminate: f.Shared.OnIndeterminate == rejectRequests,
 		BodyMemory:               f.Daemon.BodyMemoryMB << 20, DrainTimeout: f.Daemon.DrainTimeout, TerminationGrace: terminationGrace(0),
@@ -42,12 +42,12 @@
 	return s
 }
 
-// operatorConnections returns the maximum number of operators' connections, or 0 if the file has no admin_addr to connect to.
-func (f *File) operatorConnections() int {
+// maxOperatorConnections returns the maximum number of operators' connections, or 0 if the file has no admin_addr to connect to.
+func (f *File) maxOperatorConnections() int {
 	if f.Daemon.AdminAddr == "" {
 		return 0
 	}
-	return fileOperatorConnections
+	return fileMaxOperatorConnections
 }
 
 // poolSpec converts a pool to a PoolSpec. classes are the names of the classes whose requests are routed to the pool.
@@ -63,8 +63,8 @@
 // balanceSettings returns the settings of a pool's balancer. classes are the names of the classes whose requests are routed to the pool.
 func (f *File) balanceSettings(p *Pool, classes []string) balance.Settings {
 	settings := balance.Settings{
-		Seed: f.Daemon.Seed, Balancers: f.Daemon.Count, Index: f.Daemon.Index, Tier: p.Tier, TiersBelow: p.TiersBelow,
-		MaxAttempts: p.Attempts, CanCancel: true, MaxRetryAfter: p.MaxRetryAfter, TimerResolution: timerResolution,
+		Seed: f.Daemon.Seed, Balancers: f.Daemon.DaemonCount, Index: f.Daemon.Index, Tier: p.Tier, TiersBelow: p.TiersBelow,
+		MaxAttempts: p.Attempts, CanCancel: true, MaxRetryAfter: p.MaxRetryAfter, TimerResolution: maxTimerDelay,
 		SlowStartCapacity: p.SlowStartCapacity, SlowStartDuration: p.SlowStartDuration,
 	}
 	for _, c := range f.Class {
--- a/internal/config/listener.go
+++ b/internal/config/listener.go
@@ -28,12 +28,13 @@
 
 	Descriptor int `toml:"-"` // descriptor of a listening socket inherited from the platform; 0 to open a socket
 
-	// UsesRawTargets is whether request targets are matched and forwarded without normalization. It is set only for the platform, whose
-	// contract demands it.
+	// UsesRawTargets is whether request targets are matched and forwarded without normalization. Of an endpoint's response headers only
+	// Content-Type is then forwarded. The field is set only in the listener from the platform's configuration: the platform requires it.
 	UsesRawTargets bool
 }
 
-// Default values and bounds of the fields of a Listener. The defaults apply on the platform too, unless platformListener sets others.
+// Default values and bounds of the fields of a Listener. The listener from the platform's configuration has these defaults too, except
+// for the fields that platformListener sets.
 const (
 	defaultConnections = 500
 	defaultHeadBytes   = 16 << 10
--- a/internal/config/platform_service.go
+++ b/internal/config/platform_service.go
@@ -9,18 +9,19 @@
 	"tuliprock/internal/route"
 )
 
-// platformName is the name of the platform's one listener and one pool.
+// platformName is the name of the only listener, and of the only pool, of a sidecar that the platform configures. The platform's file
+// names a single listen address and a single discovery agent.
 const platformName = "platform"
 
 // Limits of requests on the platform. Its clients may send and receive bodies of up to 32 MB, take 2 s to send a head, and send
 // at least 64 kB per second. A misbehaving client must get an error, or its connection must be closed, within 3 s of connecting.
 const (
-	platformBodyBytes         = 32 << 20
+	platformMaxBodyBytes      = 32 << 20
 	platformHeadTimeout       = 2500 * time.Millisecond
 	platformBodyTimeout       = 2500 * time.Millisecond // enough for a buffered body of 64 kB in several pieces, which takes 1 s at 64 kB per second
 	platformMinStreamRate     = 48 << 10                // bytes per second: 64 kB less a quarter, since the measured rate fluctuates
 	platformStreamIdleTimeout = 5 * time.Second         // how long a peer may send nothing, or be slower than its minimum rate
-	platformStreamDuration    = 10 * time.Minute        // how long a body may stream: 32 MB at 64 kB per second take 8.5 minutes
+	platformMaxStreamDuration = 10 * time.Minute        // longest time that a body may stream: 32 MB at 64 kB per second take 8.5 minutes
 
 	// platformBodyMemoryDivisor is the number by which the memory limit is divided for the memory budget of bodies. The budget is
 	// small because two processes share the limit during a hot restart.
@@ -45,13 +46,13 @@
 	}
 	s := Service{
 		Name: c.Name, Limits: c.Limits, Table: table, Targets: targets,
-		AdminAddress: c.AdminAddress, OperatorConnections: c.operatorConnections(),
+		AdminAddress: c.AdminAddress, OperatorConnections: c.maxOperatorConnections(),
 	}
 	s.TerminationGrace = terminationGrace(c.Settings.LongestClientWait)
 	s.DrainTimeout = s.TerminationGrace - abortReportTime
 	s.BodyMemory = c.Limits.MemoryMB << 20 / platformBodyMemoryDivisor
-	connections := s.ConnectionsWithin(c.Limits.Sockets)
-	listener, pool := c.platformListener(connections), c.platformPool(connections, settings)
+	connectionLimit := s.ConnectionsWithin(c.Limits.Sockets)
+	listener, pool := c.platformListener(connectionLimit), c.platformPool(connectionLimit, settings)
 	if c.ListenDescriptor > 0 { // several processes of the sidecar may run at a time and share the inherited socket
 		listener.Descriptor, pool.Source.RequestsFullList, s.SharedDir = c.ListenDescriptor, true, c.SharedDir
 	}
@@ -59,28 +60,28 @@
 	return s, nil
 }
 
-// operatorConnections returns the maximum number of operators' connections, or 0 if there is no AdminAddress to connect to.
-func (c Config) operatorConnections() int {
+// maxOperatorConnections returns the maximum number of operators' connections, or 0 if there is no AdminAddress to connect to.
+func (c Config) maxOperatorConnections() int {
 	if c.AdminAddress == "" {
 		return 0
 	}
 	return max(c.Limits.Sockets/operatorSocketDivisor, minOperatorConnections)
 }
 
-func (c Config) platformListener(connections int) Listener {
+func (c Config) platformListener(connectionLimit int) Listener {
 	l := defaultListener()
-	l.Name, l.Address, l.Connections, l.UsesRawTargets = platformName, c.Listen, connections, true
+	l.Name, l.Address, l.Connections, l.UsesRawTargets = platformName, c.Listen, connectionLimit, true
 	l.Forwarded, l.RetryAfter = forwardedLeave, retryAfterFraction
-	l.HeadTimeout, l.BodyTimeout, l.BodyBytes = platformHeadTimeout, platformBodyTimeout, platformBodyBytes
+	l.HeadTimeout, l.BodyTimeout, l.BodyBytes = platformHeadTimeout, platformBodyTimeout, platformMaxBodyBytes
 	l.StreamIdleTimeout, l.MinStreamRate = platformStreamIdleTimeout, platformMinStreamRate
 	return l
 }
 
-func (c Config) platformPool(connections int, settings balance.Settings) PoolSpec {
+func (c Config) platformPool(connectionLimit int, settings balance.Settings) PoolSpec {
 	return PoolSpec{
 		Name: platformName, Settings: settings, Source: SourceSpec{Agent: c.Discovery, LastUpdate: c.LastUpdate},
-		Connections: connections, DialTimeout: c.Settings.DialTimeout, IdleTimeout: c.Settings.IdleConnectionTimeout,
-		StartsAtLastByte: true, AcceptsOnlyStatusOK: true, MaxResponseBytes: platformBodyBytes,
+		Connections: connectionLimit, DialTimeout: c.Settings.DialTimeout, IdleTimeout: c.Settings.IdleConnectionTimeout,
+		StartsAtLastByte: true, AcceptsOnlyStatusOK: true, MaxResponseBytes: platformMaxBodyBytes,
 		MinStreamRate: body.MinimumRate{IdleTimeout: platformStreamIdleTimeout},
 	}
 }
@@ -105,7 +106,7 @@
 		Name: c.Name, Idempotency: idempotencyName(c.Idempotency), Methods: []string{"POST"},
 		IDHeader: defaultIDHeader, KeyHeader: defaultKeyHeader, TenantHeader: defaultTenantHeader,
 		DeadlineHeader: defaultDeadlineHeader, RetryHeader: "Req-Retry",
-		IDMissing: missingReject, DeadlineMissing: missingReject, MaxDeadline: maxDeadline, MaxStreamDuration: platformStreamDuration,
+		IDMissing: missingReject, DeadlineMissing: missingReject, MaxDeadline: maxDeadline, MaxStreamDuration: platformMaxStreamDuration,
 	}
 	if c.Idempotency == balance.Idempotent {
 		class.Methods, class.ForbidsBody = []string{"GET"}, true
--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -47,8 +47,8 @@
 	Type   string        `toml:"type"`      // type of the records: "address" (A and AAAA) or "srv"
 	Port   int           `toml:"port"`      // port of the endpoints for the type "address"; 0 for "srv"
 	Server string        `toml:"server"`    // host:port of the DNS server; empty for the system's resolvers
-	MinTTL time.Duration `toml:"ttl_least"` // shortest time to the poll after one that lists members, even if the records' time to live is shorter
-	MaxTTL time.Duration `toml:"ttl_most"`  // longest time to the poll after one that lists members, even if the records' time to live is longer
+	MinTTL time.Duration `toml:"ttl_least"` // lower bound of the delay from a poll that lists members to the next poll; the delay is otherwise the records' time to live
+	MaxTTL time.Duration `toml:"ttl_most"`  // upper bound of the delay from a poll that lists members to the next poll; the delay is otherwise the records' time to live
 }
 
 // Member is an endpoint in a pool's list.
@@ -84,7 +84,7 @@
 
 // Default values and bounds of the fields of a Pool.
 const (
-	defaultAttempts          = 4
+	defaultMaxAttempts       = 4
 	defaultSlowStartCapacity = 0.3
 	defaultSlowStartDuration = 10 * time.Second
 	defaultDialTimeout       = 250 * time.Millisecond
@@ -101,7 +101,7 @@
 )
 
 func (p *Pool) applyDefaults(tomlFile *tomlfile.File, table string) {
-	setDefault(tomlFile, table+".attempts", &p.Attempts, defaultAttempts)
+	setDefault(tomlFile, table+".attempts", &p.Attempts, defaultMaxAttempts)
 	setDefault(tomlFile, table+".cold_from", &p.SlowStartCapacity, defaultSlowStartCapacity)
 	setDefault(tomlFile, table+".cold_for", &p.SlowStartDuration, defaultSlowStartDuration)
 	setDefault(tomlFile, table+".connections", &p.Connections, defaultConnections)
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -41,12 +41,16 @@
 	MinStreamRate            body.MinimumRate // slowest pace at which an endpoint may send or receive a streaming body
 
 	// BufferedResponseTimeout limits the time from the first to the last byte of a buffered response; values under 0.5 s are
-	// treated as 0.5 s. On the platform it is 0, since responses there take 23 ms at most.
+	// treated as 0.5 s. The platform's configuration leaves it 0, since 0.5 s is enough for the platform's responses, which take 23 ms
+	// at most.
 	BufferedResponseTimeout time.Duration
 
-	DialsRatherThanWaits bool // a new connection is dialed if the delay before the reuse of an idle connection has not passed
-	// AcceptsOnlyStatusOK is whether any status but 200 is a failure, and only the content type and the body of a response are
-	// forwarded. The platform's contract demands it.
+	// DialsRatherThanWaits is whether a request dials a new connection, within the limit Connections, if each idle connection to its
+	// endpoint received a response only a few milliseconds ago. Such a connection may not be reused yet, since a duplicate of that response
+	// could be taken for the next one. If DialsRatherThanWaits is false, the request waits until a connection may be reused.
+	DialsRatherThanWaits bool
+	// AcceptsOnlyStatusOK is whether every response with a status other than 200 counts as a failed attempt, which the platform
+	// requires.
 	AcceptsOnlyStatusOK bool
 	Source              SourceSpec
 }
@@ -119,7 +123,7 @@
 // After SIGTERM the platform waits for the longest deadline, at most 3 s, and another 0.7 s before it sends SIGKILL. Requests that are
 // still running must be aborted earlier, so that their clients get an error first.
 const (
-	maxGraceDeadline   = 3 * time.Second
+	maxAwaitedDeadline = 3 * time.Second
 	graceAfterDeadline = 700 * time.Millisecond
 	abortReportTime    = 300 * time.Millisecond // time between the abort of requests and SIGKILL
 )
@@ -128,7 +132,7 @@
 // request, or 0 if unknown.
 func terminationGrace(longestDeadline time.Duration) time.Duration {
 	if longestDeadline <= 0 {
-		longestDeadline = maxGraceDeadline
+		longestDeadline = maxAwaitedDeadline
 	}
-	return min(longestDeadline, maxGraceDeadline) + graceAfterDeadline
+	return min(longestDeadline, maxAwaitedDeadline) + graceAfterDeadline
 }
--- a/internal/discovery/agent.go
+++ b/internal/discovery/agent.go
@@ -83,15 +83,15 @@
 	watchRequested := !c.mustSubscribe
 	for ctx.Err() == nil {
 		watchCtx, stop := context.WithCancel(ctx)
-		ended := make(chan bool, 1)
-		go func() { ended <- c.keepWatching(watchCtx, watchRequested) }()
+		watchInterrupted := make(chan bool, 1)
+		go func() { watchInterrupted <- c.keepWatching(watchCtx, watchRequested) }()
 		select {
 		case <-ctx.Done():
 			stop()
-			<-ended
+			<-watchInterrupted
 		case addr := <-c.switchRequests:
 			stop()
-			watchRequested = <-ended
+			watchRequested = <-watchInterrupted
 			if addr != c.addr {
 				c.addr, c.version = addr, nil
 			}
@@ -100,8 +100,9 @@
 }
 
 // keepWatching opens one watch after the other at the current agent until ctx ends. watchRequested is whether the first watch need not
-// wait for Subscribe. The result is whether ctx ended during a watch that had been requested, so that it must be opened again. When a
-// watch breaks, the receiver keeps its list, and the next watch begins with the changes after the version of that list.
+// wait for Subscribe. It returns whether ctx ended during a watch: that watch had been requested, so Run must open it again without
+// waiting for Subscribe. When a watch breaks, the receiver keeps its list, and the next watch begins with the changes after the version
+// of that list.
 func (c *AgentClient) keepWatching(ctx context.Context, watchRequested bool) bool {
 	backoff := minBackoff
 	for {
--- a/internal/discovery/file_test.go
+++ b/internal/discovery/file_test.go
@@ -77,12 +77,12 @@
 
 func TestParseMemberFileRejectsBadFiles(t *testing.T) {
 	entry := func(i int) string { return fmt.Sprintf(`{"address":"10.%d.%d.%d:80"}`, i>>16, i>>8&255, i&255) }
-	var maxEntries []string // as many entries as a file may have
+	var entriesAtLimit []string // as many entries as a file may have
 	for i := range 100_000 {
-		maxEntries = append(maxEntries, entry(i))
+		entriesAtLimit = append(entriesAtLimit, entry(i))
 	}
 	fileOf := func(entries ...string) string { return `{"format":1,"members":[` + strings.Join(entries, ",") + `]}` }
-	if members, err := ParseMemberFile([]byte(fileOf(maxEntries...))); err != nil || len(members) != 100_000 {
+	if members, err := ParseMemberFile([]byte(fileOf(entriesAtLimit...))); err != nil || len(members) != 100_000 {
 		t.Errorf("a file of 100,000 members: parsed %d of them, error %v", len(members), err)
 	}
 	validText := fileOf(entry(1), entry(2))
@@ -92,13 +92,13 @@
 		}
 	}
 	for text, want := range map[string]string{
-		fileOf(append(maxEntries, entry(100_000))...): "members: over 100000",
-		fileOf(entry(1), entry(1)):                    `members[1].id: "10.0.0.1:80" is listed twice`,
-		fileOf(`{"address":"here"}`):                  "members[0].address",
-		fileOf(`{"address":"h:1","state":"x"}`):       `members[0].state: "x"`,
-		fileOf(`{"addr":"h:1"}`):                      "unknown field",
-		validText + "{}":                              "unexpected data after the list",
-		`{"members":[]}`:                              "format: 0 is not 1",
+		fileOf(append(entriesAtLimit, entry(100_000))...): "members: over 100000",
+		fileOf(entry(1), entry(1)):                        `members[1].id: "10.0.0.1:80" is listed twice`,
+		fileOf(`{"address":"here"}`):                      "members[0].address",
+		fileOf(`{"address":"h:1","state":"x"}`):           `members[0].state: "x"`,
+		fileOf(`{"addr":"h:1"}`):                          "unknown field",
+		validText + "{}":                                  "unexpected data after the list",
+		`{"members":[]}`:                                  "format: 0 is not 1",
 	} {
 		if _, err := ParseMemberFile([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%.60s: got error %v, want %s", text, err, want)
--- a/internal/discovery/membercache.go
+++ b/internal/discovery/membercache.go
@@ -10,13 +10,13 @@
 // for concurrent use; the PollingSource that is running owns it.
 type MemberCache struct {
 	endpoints *endpointset.Set
-	epoch     time.Time // time from which the instants that are passed to endpoints are counted
+	epoch     time.Time // time of instant 0 of the Set, which takes and returns instants as durations since this time
 }
 
 // NewMemberCache returns an empty MemberCache. o says how long the last good list is held, and how flapping endpoints are damped.
 func NewMemberCache(o endpointset.Options) *MemberCache {
-	// The epoch is in the past so that no member becomes active at instant 0: an Endpoint.ActiveSince of 0 marks members of the first
-	// list.
+	// The epoch is one second in the past, so that no member becomes active at instant 0. In the field ActiveSince of an
+	// endpointset.Endpoint, 0 means that the member has been unchanged since the first list.
 	return &MemberCache{endpointset.New(o), time.Now().Add(-time.Second)}
 }
 
--- a/internal/discovery/polling.go
+++ b/internal/discovery/polling.go
@@ -16,7 +16,7 @@
 	name      string // source's name in log lines
 	poll      func(context.Context) (pollResult, error)
 	endpoints *endpointset.Set // listed members, and which of them are active
-	epoch     time.Time        // time that corresponds to instant 0 of endpoints
+	epoch     time.Time        // time of instant 0 of the Set, which takes and returns instants as durations since this time
 	deliver   func(ListUpdate) // called with each list that differs from the previous one
 	onFailure func()           // called after each failed poll
 	log       *slog.Logger
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -23,11 +23,11 @@
 	watchIdleTimeout = 4300 * time.Millisecond
 
 	// pushedFirstByteTimeout is the time limit for the first byte of a response if watches need no call of Subscribe. It is short since
-	// the agent runs on this machine and normally responds at once, and since after a silence of the agent the platform counts updates
-	// as received as soon as the agent responds again.
+	// the agent runs on this machine and normally responds at once, and since after a silence of the agent the platform expects the
+	// sidecar to have received the agent's updates as soon as the agent responds again.
 	pushedFirstByteTimeout = 400 * time.Millisecond
 	// subscribedFirstByteTimeout is the time limit for the first byte of a response if each watch must be requested by Subscribe. It is
-	// longer than pushedFirstByteTimeout since such an agent handles one request at a time.
+	// longer than pushedFirstByteTimeout since an agent of which watches must be requested handles one request at a time.
 	subscribedFirstByteTimeout = 2500 * time.Millisecond
 )
 
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -94,16 +94,18 @@
 	io.WriteString(w, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 }
 
-// writeChunk writes one chunk of a chunked response. Write errors are ignored, as in openStream.
+// writeChunk writes one chunk of a chunked response. Write errors are ignored, since the client closes the connection whenever it
+// abandons a response.
 func writeChunk(w io.Writer, text string) { _, _ = fmt.Fprintf(w, "%x\r\n%s\r\n", len(text), text) }
 
-// writeResponse writes a complete response with a Content-Length. Write errors are ignored, as in openStream.
+// writeResponse writes a complete response with a Content-Length. Write errors are ignored, since the client closes the connection
+// whenever it abandons a response.
 func writeResponse(w io.Writer, text string) {
 	_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 }
 
-// The platform counts an update as received 6 s after the watch fell silent. The client must have it by then, even if its next two
-// requests fail as well, because they get no response or open a watch that sends nothing.
+// The platform expects a sidecar to have received an update 6 s after the sidecar's watch fell silent. The client must deliver the update
+// by then, even if its next two requests fail as well, because they get no response or open a watch that sends nothing.
 func TestUpdateMissedBySilentWatchArrivesInTime(t *testing.T) {
 	const silentFrom = 10 * time.Second
 	for name, serveNothing := range map[string]func(io.Writer){
@@ -132,8 +134,8 @@
 	}
 }
 
-// An agent that comes back after a long silence responds to pending requests, and its updates count as received at once. So the client
-// must always have a request pending, except during a short backoff.
+// When an agent comes back after a long silence, it responds to pending requests, and the platform expects a sidecar to receive the
+// agent's updates at once. So the client must always have a request pending, except during a short backoff.
 func TestUpdateArrivesAtOnceWhenAgentReturns(t *testing.T) {
 	const downAt = 5 * time.Second
 	rapid.Check(t, func(rt *rapid.T) {
