--- a/cmd/tuliprock/check.go
+++ b/cmd/tuliprock/check.go
@@ -149,7 +149,7 @@
 // one. The balancer limits the load of each member separately, so the endpoint at such an address gets more load than the limit
 // of one member allows.
 func sharedAddressNotes(f *config.File) (notes []string) {
-	firstMemberAt := map[string]string{} // name and pool of the first member at each address, by the address
+	firstMemberAt := map[string]string{} // first member that has each address, as "MEMBER in pool POOL", by the address
 	for _, p := range f.Pool {
 		for _, m := range p.Member {
 			member := fmt.Sprintf("%s in pool %s", m.ID, p.Name)
--- a/cmd/tuliprock/clustercost_test.go
+++ b/cmd/tuliprock/clustercost_test.go
@@ -79,7 +79,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer func() { _ = peer.Abort() }() // the peer does not announce that it leaves, since the measurement is over
+		defer func() { _ = peer.Abort() }() // closes the peer's sockets without an announcement to the other daemons
 	}
 	for end := time.Now().Add(3 * time.Minute); time.Now().Before(end); time.Sleep(time.Second) {
 		if f, err := status.FetchFleet(d.adminAddr, reportTimeout); err == nil && f.DaemonCount == peerCount+1 {
--- a/cmd/tuliprock/command_test.go
+++ b/cmd/tuliprock/command_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The platform's daemon, which runs if the program gets no argument, and the command "plain", which runs this daemon with a
-// baseline policy, report bad input in the exit code and on standard error.
+// Without an argument the program runs the platform's daemon; the command "plain" runs this daemon with a baseline policy. Both
+// report bad input in the exit code and on standard error.
 func TestPlatformDaemonReportsBadInput(t *testing.T) {
 	cmd := programCommand()
 	cmd.Env = append(cmd.Env, "ROUTER_CONFIG=")
--- a/cmd/tuliprock/faultschedule_check_test.go
+++ b/cmd/tuliprock/faultschedule_check_test.go
@@ -13,9 +13,9 @@
 )
 
 // checkGuarantees checks the recorded observations: daemons act on different versions for no longer than maxVersionConflict,
-// shed requests never reach a node, no agreed put is lost, and operations on the document flagName are linearizable. version is
-// the version that the last put made.
-func (s *faultSchedule) checkGuarantees(version uint64) {
+// shed requests never reach a node, no agreed put is lost, and operations on the document flagName are linearizable. lastVersion is the
+// version that the last put made.
+func (s *faultSchedule) checkGuarantees(lastVersion uint64) {
 	t := s.t
 	history, err := status.SendCommand(s.daemons[0].adminAddr, []string{"history"}, nil, putTimeout)
 	if err != nil {
@@ -43,18 +43,19 @@
 	}
 	t.Logf("daemons acted on %d of %d versions in %d requests; daemons conflicted for at most %v, %v allowed; %d requests shed, "+
 		"%d without a response; %d operations on the flag; requests shed by fault: %v",
-		verdict.Versions, version, len(reports), verdict.LongestContradiction.Round(time.Millisecond), maxVersionConflict, len(s.requestsShed),
+		verdict.Versions, lastVersion, len(reports), verdict.LongestContradiction.Round(time.Millisecond), maxVersionConflict, len(s.requestsShed),
 		s.unansweredCount, len(s.flagOperations), s.countShedByFault())
 }
 
-// countShedByFault counts the shed requests by the latest fault that had started when they were sent, or "start" if none had.
+// countShedByFault returns the number of shed requests by kind of fault. A request counts for the last fault that started before
+// the request was sent, and under "start" if it was sent before the first fault.
 func (s *faultSchedule) countShedByFault() map[string]int {
 	counts := map[string]int{}
 	for id := range s.requestsShed {
 		name := "start"
 		for _, fault := range s.faults {
 			if fault.startedAt <= s.requestsSent[id].sentAt {
-				name = fault.name
+				name = fault.kind
 			}
 		}
 		counts[name]++
@@ -62,8 +63,9 @@
 	return counts
 }
 
-// findVersionsByMark returns, by mark, the version under which the history lists the settings text with the mark. It checks that
-// the history lists no version twice, and that the version in the response to each put is listed with the text that was put.
+// findVersionsByMark returns the version at which the history lists each settings text, by the text's mark, which is the value that
+// the text sets for settingsMarkHeader. It checks that the history lists no version twice, and that the version in the response to
+// each put is listed with the text that was put.
 func (s *faultSchedule) findVersionsByMark(history *status.CommandResult) map[string]uint64 {
 	versions := map[string]uint64{}
 	digests := map[uint64]string{} // SHA-256 digest, in hexadecimal, of the change that made each version, by the version
@@ -86,9 +88,10 @@
 	return versions
 }
 
-// buildVersionReports returns a report for each request that arrived at a node with a mark: its daemon acted on the version of the
-// mark at some time between the sending and the arrival of the request. For a request that was sent while the daemon was
-// paused, the report gives the time when the daemon resumed instead of the time of sending.
+// buildVersionReports returns a report for each request that arrived at a node with settingsMarkHeader. The report says that the
+// daemon that forwarded the request acted on a version of the settings at some time between the sending and the arrival of the
+// request; versionsByMark gives the version for the header's value. For a request that was sent while the daemon was paused, the
+// report gives the time when the daemon resumed instead of the time of sending.
 func (s *faultSchedule) buildVersionReports(versionsByMark map[string]uint64) (reports []clusterinvariant.VersionReport) {
 	for id, a := range s.requestsArrived {
 		sent := s.requestsSent[id]
--- a/cmd/tuliprock/faultschedule_operations_test.go
+++ b/cmd/tuliprock/faultschedule_operations_test.go
@@ -14,10 +14,10 @@
 // putTimeout is the timeout of a put, which may have to wait for an election.
 const putTimeout = 4 * time.Second
 
-// putSettings puts a settings text with the given mark, and with a comment of pad bytes, through daemon d. It records the mark
-// of the text, and the version that the put made, under the digest of the text.
-func (s *faultSchedule) putSettings(d int, mark string, pad int) (*status.CommandResult, error) {
-	text := s.settingsText(mark, pad)
+// putSettings puts, through daemon d, a settings text that sets settingsMarkHeader to mark and has a comment of padBytes bytes. It
+// records the mark by the digest of the text, and the digest by the version that the put made.
+func (s *faultSchedule) putSettings(d int, mark string, padBytes int) (*status.CommandResult, error) {
+	text := s.settingsText(mark, padBytes)
 	s.mu.Lock()
 	s.markByDigest[sha256.Sum256(text)] = mark
 	s.mu.Unlock()
--- a/cmd/tuliprock/faultschedule_test.go
+++ b/cmd/tuliprock/faultschedule_test.go
@@ -51,7 +51,7 @@
 // injectedFault records when a fault started. A shed request is attributed to the last fault that started before the request
 // was sent.
 type injectedFault struct {
-	name      string        // kind of the fault as injectFault returned it, such as "cut" or "kill"
+	kind      string        // kind of the fault as injectFault returned it, such as "cut" or "kill"
 	startedAt time.Duration // when the fault started, as a time since the start of the schedule
 }
 
@@ -62,7 +62,7 @@
 	sentAt      time.Duration // when the request was sent, as a time since the start of the schedule
 }
 
-// arrivedRequest records with which mark and when a request arrived at a node.
+// arrivedRequest records with which value of settingsMarkHeader, and when, a request arrived at a node.
 type arrivedRequest struct {
 	mark      string        // value of settingsMarkHeader; empty if the request was forwarded before the first settings were active
 	arrivedAt time.Duration // when the request arrived, as a time since the start of the schedule
@@ -72,12 +72,12 @@
 type daemonPause struct{ from, to time.Duration }
 
 const (
-	faultDurationRange = 2500 * time.Millisecond // a drawn duration is 200 ms plus a random time below faultDurationRange
-	faultsDuration     = 12 * time.Second        // time since the start of the schedule after which no further fault is injected
-	minFaultGap        = 500 * time.Millisecond  // minimum time from the end of a fault to the start of the next one
-	requestInterval    = 8 * time.Millisecond    // time between two requests of a client
-	operationInterval  = 150 * time.Millisecond  // time between two operations of a client on the settings
-	flagName           = "flag/x"                // name of the document whose puts and reads are checked for linearizability
+	faultDurationSpread    = 2500 * time.Millisecond // a fault lasts 200 ms plus a random time below faultDurationSpread
+	faultInjectionDuration = 12 * time.Second        // time since the start of the schedule after which no further fault is injected
+	minFaultGap            = 500 * time.Millisecond  // minimum time from the end of a fault to the start of the next one
+	requestInterval        = 8 * time.Millisecond    // time between two requests of a client
+	operationInterval      = 150 * time.Millisecond  // time between two operations of a client on the settings
+	flagName               = "flag/x"                // name of the document whose puts and reads are checked for linearizability
 )
 
 // elapsed returns the time since the start of the schedule. All observations are recorded with this time.
@@ -106,13 +106,14 @@
 	// draws a rate for each restarted daemon, so that clock rates differ by as much as the configuration tolerates.
 	t.Setenv(transport.ClockRateEnv, "0.99")
 	s.testCluster = newTestCluster(t, clusterSpec{
-		daemons: daemons, voters: 3, persistAll: true, extraConfig: `shared = { unsure = "refuse" }`, onRequest: s.recordArrival,
+		daemons: daemons, voters: 3, allHaveDataDir: true, extraConfig: `shared = { unsure = "refuse" }`, onRequest: s.recordArrival,
 	})
 	return s
 }
 
-// recordArrival records a request that arrives at a node. If an earlier attempt of the request arrived with another mark,
-// recordArrival records a violation, since a single version of the settings must apply to all attempts of a request.
+// recordArrival records a request that arrives at a node. If an earlier attempt of the request arrived with another value of
+// settingsMarkHeader, recordArrival records a violation, since a single version of the settings must apply to all attempts of a
+// request.
 func (s *faultSchedule) recordArrival(r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -178,7 +179,7 @@
 // injectFault draws a fault, keeps it up for a random time, ends it and returns its kind. The order of the random draws must not
 // change, or a seed no longer gives the same schedule.
 func (s *faultSchedule) injectFault() string {
-	duration := 200*time.Millisecond + time.Duration(s.rng.Int64N(int64(faultDurationRange)))
+	duration := 200*time.Millisecond + time.Duration(s.rng.Int64N(int64(faultDurationSpread)))
 	names := make([]string, len(s.daemons))
 	for i := range names {
 		names[i] = fmt.Sprint("s", i)
@@ -274,7 +275,7 @@
 		rng := rand.New(rand.NewPCG(s.rng.Uint64(), uint64(i)))
 		s.clients.Go(func() { s.sendOperations(i, rng) })
 	}
-	for s.elapsed() < faultsDuration {
+	for s.elapsed() < faultInjectionDuration {
 		startedAt := s.elapsed()
 		fault := s.injectFault()
 		s.faults = append(s.faults, injectedFault{fault, startedAt})
@@ -296,13 +297,13 @@
 
 // Clusters of five daemons, or of seven for every second seed, go through random faults. TULIPROCK_TEST_FAULT_SCHEDULES is the
 // number of schedules, 1 by default, and TULIPROCK_TEST_FAULT_SCHEDULE_SEED the seed of the first one.
-func TestRandomFaultSchedules(t *testing.T) {
-	count, err := strconv.Atoi(cmp.Or(os.Getenv("TULIPROCK_TEST_FAULT_SCHEDULES"), "1"))
+func TestClusterGuaranteesHoldUnderRandomFaults(t *testing.T) {
+	scheduleCount, err := strconv.Atoi(cmp.Or(os.Getenv("TULIPROCK_TEST_FAULT_SCHEDULES"), "1"))
 	firstSeed, seedErr := strconv.ParseUint(cmp.Or(os.Getenv("TULIPROCK_TEST_FAULT_SCHEDULE_SEED"), "1"), 10, 64)
 	if err := errors.Join(err, seedErr); err != nil {
 		t.Fatal(err)
 	}
-	for i := range uint64(count) {
+	for i := range uint64(scheduleCount) {
 		seed := firstSeed + i
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			newFaultSchedule(t, seed, 5+2*int((seed+1)%2)).run()
--- a/cmd/tuliprock/halfopen_test.go
+++ b/cmd/tuliprock/halfopen_test.go
@@ -114,13 +114,13 @@
 	go func() {
 		defer close(watcherDone)
 		for ctx.Err() == nil {
-			sum := 0
+			totalDescriptors := 0
 			mu.Lock()
 			for _, d := range append([]*harnessDaemon{first}, successors...) {
-				sum += d.countDescriptors()
+				totalDescriptors += d.countDescriptors()
 			}
 			mu.Unlock()
-			peakDescriptors = max(peakDescriptors, sum)
+			peakDescriptors = max(peakDescriptors, totalDescriptors)
 			time.Sleep(5 * time.Millisecond)
 		}
 	}()
--- a/cmd/tuliprock/hotrestartharness_test.go
+++ b/cmd/tuliprock/hotrestartharness_test.go
@@ -58,7 +58,7 @@
 			h.requestsByID[r.Header.Get("Req-Id")]++
 			h.mu.Unlock()
 			if strings.HasPrefix(r.URL.Path, "/look/long") {
-				return h.writeSlowly(nc)
+				return h.writeLongResponse(nc)
 			}
 			time.Sleep(2 * time.Millisecond) // time that the endpoint works on a request
 			_, err := io.WriteString(nc, testpeer.ResponseOK)
@@ -88,8 +88,8 @@
 // longResponseParts is the number of parts of a long response. Each part has 32 KiB.
 const longResponseParts = 40
 
-// writeSlowly writes a long response, which takes about 1.2 s, and reports whether all writes succeeded.
-func (h *hotRestartHarness) writeSlowly(nc net.Conn) bool {
+// writeLongResponse writes a long response, which takes about 1.2 s, and reports whether all writes succeeded.
+func (h *hotRestartHarness) writeLongResponse(nc net.Conn) bool {
 	part := strings.Repeat("z", 32<<10)
 	_, err := fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", longResponseParts*len(part))
 	for i := 0; i < longResponseParts && err == nil; i++ {
@@ -120,8 +120,8 @@
 	h.t.Helper()
 	h.startCount++
 	d := &harnessDaemon{adminAddr: testpeer.FreeAddress(h.t)}
-	// The endpoint list in the configuration is empty, and older than that of the discovery service. Only if the service is
-	// silent, the configuration has the complete list.
+	// If the discovery service responds, the configured endpoint list is empty, and has an older version than that of the service.
+	// If the service is silent, the configured list is complete.
 	configuredList := testpeer.EncodeMembers(1, true)
 	if h.isDiscoverySilent {
 		configuredList = h.memberList()
--- a/cmd/tuliprock/measurementserver_test.go
+++ b/cmd/tuliprock/measurementserver_test.go
@@ -49,8 +49,8 @@
 	fmt.Fprintln(os.Stderr, http.ListenAndServe(words[1], handler))
 }
 
-// startServerProcess starts a process on one core that is a server for a measurement. words are the words of the value of
-// runAsServerEnv. startServerProcess waits until the server accepts connections, and returns the process id.
+// startServerProcess starts a process on one core that is a server for a measurement. The process gets words, separated by spaces,
+// in the variable runAsServerEnv. startServerProcess waits until the server accepts connections, and returns the process id.
 func startServerProcess(t *testing.T, words ...string) int {
 	t.Helper()
 	p := &process{cmd: programCommand()}
--- a/cmd/tuliprock/rehearse_progress.go
+++ b/cmd/tuliprock/rehearse_progress.go
@@ -33,7 +33,8 @@
 	if b.bar == nil {
 		return
 	}
-	servedFraction := 1.0 // worth of the requests served in time, as a fraction of the worth of all requests offered so far
+	// value of the requests served in time, as a fraction of the value of all requests that have an outcome; 1 before the first outcome
+	servedFraction := 1.0
 	if s.OfferedValue > 0 {
 		servedFraction = s.InTimeValue / s.OfferedValue
 	}
--- a/cmd/tuliprock/rehearse_test.go
+++ b/cmd/tuliprock/rehearse_test.go
@@ -72,17 +72,20 @@
 		Format int
 		Kind   string
 		Runs   []struct {
-			Held, Valid bool
-			Whole       float64
-			Requests    struct{ Asked, Served int }
-			Referee     struct{ Rules []struct{ Verdict string } }
+			Held, Valid    bool
+			InTimeFraction float64 `json:"whole"`
+			Requests       struct {
+				Total  int `json:"asked"`
+				Served int
+			}
+			Invariants struct{ Rules []struct{ Verdict string } } `json:"referee"`
 		}
 	}
 	if err := json.Unmarshal(text, &result); err != nil {
 		t.Fatal(err)
 	}
-	if result.Format != 1 || result.Kind != "rehearsal" || len(result.Runs) != 1 || !result.Runs[0].Held || result.Runs[0].Whole < 0.9 || result.Runs[0].Requests.Asked < 50 ||
-		result.Runs[0].Referee.Rules[0].Verdict != "held" || result.Runs[0].Referee.Rules[3].Verdict != "not put to the test" {
+	if result.Format != 1 || result.Kind != "rehearsal" || len(result.Runs) != 1 || !result.Runs[0].Held || result.Runs[0].InTimeFraction < 0.9 || result.Runs[0].Requests.Total < 50 ||
+		result.Runs[0].Invariants.Rules[0].Verdict != "held" || result.Runs[0].Invariants.Rules[3].Verdict != "not put to the test" {
 		t.Errorf("result %+v, want one run of at least 50 requests that held the rule on final responses and did not test the one on warming endpoints", result)
 	}
 	page, err := os.ReadFile(reportFile)
@@ -103,11 +106,11 @@
 	}
 	var result struct {
 		Runs []struct {
-			Held, Valid bool
-			Whole       float64
+			Held, Valid    bool
+			InTimeFraction float64 `json:"whole"`
 		}
 	}
-	if err := json.Unmarshal([]byte(stdout), &result); err != nil || len(result.Runs) != 1 || !result.Runs[0].Held || !result.Runs[0].Valid || result.Runs[0].Whole < 0.9 {
+	if err := json.Unmarshal([]byte(stdout), &result); err != nil || len(result.Runs) != 1 || !result.Runs[0].Held || !result.Runs[0].Valid || result.Runs[0].InTimeFraction < 0.9 {
 		t.Errorf("result %+v, error %v, want one valid run that held all rules", result, err)
 	}
 }
@@ -140,11 +143,11 @@
 func TestRehearsePlanIsDeterministicBySeed(t *testing.T) {
 	path := writeTinyDay(t)
 	code, first, _ := runProgram(t, programCommand("rehearse", path, "--plan"))
-	_, again, _ := runProgram(t, programCommand("rehearse", path, "--plan"))
-	_, other, _ := runProgram(t, programCommand("rehearse", path, "--plan", "--seed", "2"))
-	if code != 0 || first != again || first == other || strings.Count(first, "\n") < 50 {
+	_, firstAgain, _ := runProgram(t, programCommand("rehearse", path, "--plan"))
+	_, ofOtherSeed, _ := runProgram(t, programCommand("rehearse", path, "--plan", "--seed", "2"))
+	if code != 0 || first != firstAgain || first == ofOtherSeed || strings.Count(first, "\n") < 50 {
 		t.Errorf("exit code %d, same plan for the same seed: %v, same for another seed: %v, %d lines; want 0, true, false, at least 50",
-			code, first == again, first == other, strings.Count(first, "\n"))
+			code, first == firstAgain, first == ofOtherSeed, strings.Count(first, "\n"))
 	}
 }
 
@@ -164,7 +167,8 @@
 func TestRehearseComparesBaselinesAndDemands(t *testing.T) {
 	var code int
 	var stdout, stderr string
-	for range 3 { // a run on a machine that is too busy is reported as not valid, which is no verdict, and is repeated
+	// The rehearsal is repeated if a run is reported as not valid: the machine was then too busy for a judgement of the rules.
+	for range 3 {
 		code, stdout, stderr = runProgram(t, programCommand("rehearse", writeTinyDay(t), "--against", "random,least-outstanding", "--demand", "0.5,1"))
 		if !strings.Contains(stdout, "NOT VALID") {
 			break
--- a/cmd/tuliprock/settings.go
+++ b/cmd/tuliprock/settings.go
@@ -31,8 +31,8 @@
 // versionPollInterval is the interval of the polls that wait for a daemon to reach a version.
 const versionPollInterval = 100 * time.Millisecond
 
-// pollUntil polls the settings versions and the voters that a daemon reports until isDone returns true for them. After timeout
-// it returns ok == false, with the result and the error of the last poll.
+// pollUntil polls a daemon for a report of its settings versions and voters until isDone returns true for the report. After timeout
+// it returns ok == false, with the report and the error of the last poll.
 func (f *daemonFlags) pollUntil(timeout time.Duration, isDone func(*status.Settings) bool) (last *status.Settings, ok bool, err error) {
 	for start := time.Now(); ; time.Sleep(versionPollInterval) {
 		last, err = status.FetchVersions(f.AdminAddr, reportTimeout)
--- a/cmd/tuliprock/settings_test.go
+++ b/cmd/tuliprock/settings_test.go
@@ -21,16 +21,16 @@
 // each text of the settings, and so tells which text a daemon acted on when it forwarded the request.
 const settingsMarkHeader = "X-Settings"
 
-// settingsText returns the text of a shared document that sets settingsMarkHeader to mark on each request, with a comment of pad
-// bytes to make the text longer. With these settings a daemon without a lease sheds all requests.
-func (c *testCluster) settingsText(mark string, pad int) []byte {
+// settingsText returns the text of a shared document that sets settingsMarkHeader to mark on each request, with a comment of
+// padBytes bytes to make the text longer. With these settings a daemon without a lease sheds all requests.
+func (c *testCluster) settingsText(mark string, padBytes int) []byte {
 	return fmt.Appendf(nil, `format = 1
 shared = { unsure = "refuse" }
 class = [{ name = "look", effect = "safe" }]
 pool = [{ name = "p", member = [{ address = %q }, { address = %q }] }]
 route = [{ pool = "p", class = "look", set_header = [{ name = %q, value = %q }] }]
 # %s
-`, c.nodes[0].Addr, c.nodes[1].Addr, settingsMarkHeader, mark, strings.Repeat("x", pad))
+`, c.nodes[0].Addr, c.nodes[1].Addr, settingsMarkHeader, mark, strings.Repeat("x", padBytes))
 }
 
 // putDocument puts a document through the daemon, with an idempotency key and a timeout.
@@ -76,7 +76,7 @@
 func TestAgreedSettingsBecomeActiveOnAllDaemons(t *testing.T) {
 	var mu sync.Mutex
 	requestsBySettingsMark := map[string]int{}
-	c := newTestCluster(t, clusterSpec{daemons: 5, voters: 3, persistAll: true, extraConfig: `shared = { unsure = "refuse" }`, onRequest: func(r *http.Request) {
+	c := newTestCluster(t, clusterSpec{daemons: 5, voters: 3, allHaveDataDir: true, extraConfig: `shared = { unsure = "refuse" }`, onRequest: func(r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		requestsBySettingsMark[r.Header.Get(settingsMarkHeader)]++
@@ -135,7 +135,7 @@
 	runSettings(exitOK, "value = \"one\"", "show", "shared", "--version=1", atFlag(4))
 
 	// A version that all daemons but s3 reject, since only s3 has its file of members, stays pending and is superseded.
-	needsMembersFile := strings.Replace(string(c.settingsText("three", 0)), "member = [", `file = "members.json" }, { name = "q", member = [`, 1)
+	textWithMembersFile := strings.Replace(string(c.settingsText("three", 0)), "member = [", `file = "members.json" }, { name = "q", member = [`, 1)
 	c.daemons[3].signal(t, syscall.SIGTERM)
 	if err := c.daemons[3].wait(); err != nil {
 		t.Fatalf("s3 exited with %v, want no error: %s", err, c.daemons[3])
@@ -147,7 +147,7 @@
 	c.daemons[3].process = startProcessIn(t, dirWithMembersFile, "serve", "--config", c.daemons[3].configPath)
 	c.daemons[3].awaitText(t, "msg=listening")
 	awaitMark(c.daemons[3], "two")
-	writeFile([]byte(needsMembersFile))
+	writeFile([]byte(textWithMembersFile))
 	runSettings(exitFailure, "can't act on version 3: shared: pool[0].file", "put", file, atFlag(3), "--wait=3s")
 	awaitMark(c.daemons[0], "two")
 	runSettings(exitOK, "all act on version 4", "back", "1", atFlag(0))
--- a/cmd/tuliprock/settingssoak_test.go
+++ b/cmd/tuliprock/settingssoak_test.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		t.Skip("TULIPROCK_TEST_SETTINGS_SOAK is not set: this is a measurement")
 	}
-	c := newTestCluster(t, clusterSpec{daemons: 5, voters: 3, persistAll: true, extraConfig: `shared = { unsure = "refuse" }`})
+	c := newTestCluster(t, clusterSpec{daemons: 5, voters: 3, allHaveDataDir: true, extraConfig: `shared = { unsure = "refuse" }`})
 	start, nextReport, puts, failures := time.Now(), time.Duration(0), 0, 0
 	for time.Since(start) < duration {
 		puts++
--- a/cmd/tuliprock/streaming_test.go
+++ b/cmd/tuliprock/streaming_test.go
@@ -66,11 +66,11 @@
 // are smaller.
 func TestStreamingBodiesStayUnderMemoryCeiling(t *testing.T) {
 	bodyGiB, _ := strconv.Atoi(os.Getenv("TULIPROCK_TEST_STREAMED_GIB"))
-	// A body of singleSize bytes is larger than memoryLimitKiB, so that the test fails if the daemon buffers the body. Slow nodes
-	// and slow clients transfer slowMiBPerSecond MiB per second.
-	singleSize, concurrentSize, slowMiBPerSecond := int64(256<<20), int64(1<<20), 4
+	// singleBodyBytes, the size of a body that is transferred alone, is larger than memoryLimitKiB, so that the test fails if the
+	// daemon buffers the body. Slow nodes and slow clients transfer slowMiBPerSecond MiB per second.
+	singleBodyBytes, concurrentBodyBytes, slowMiBPerSecond := int64(256<<20), int64(1<<20), 4
 	if bodyGiB > 0 {
-		singleSize, concurrentSize, slowMiBPerSecond = int64(bodyGiB)<<30, int64(bodyGiB)<<30/50, 20
+		singleBodyBytes, concurrentBodyBytes, slowMiBPerSecond = int64(bodyGiB)<<30, int64(bodyGiB)<<30/50, 20
 	}
 	memoryLimitKiB := 32 << 10 // limit of the memory that the daemon may use in addition to its memory when idle
 	if isRaceDetectorOn {      // the race detector's shadow memory is several times as large as the memory of the program
@@ -89,10 +89,10 @@
 		query      string // URL query that serveBulk reads
 		clientRate int    // maximum rate of each client in bytes per second; 0: not limited
 	}{
-		{"1 transfer", 1, singleSize, "", 0}, {"50 transfers", 50, concurrentSize, "", 0},
-		{"50 transfers, slow node", 50, concurrentSize, fmt.Sprintf("mbs=%d", slowMiBPerSecond), 0},
-		{"50 transfers, slow client", 50, concurrentSize, "", slowMiBPerSecond << 20},
-		{"50 transfers, both slow", 50, concurrentSize, fmt.Sprintf("mbs=%d", slowMiBPerSecond), slowMiBPerSecond << 20},
+		{"1 transfer", 1, singleBodyBytes, "", 0}, {"50 transfers", 50, concurrentBodyBytes, "", 0},
+		{"50 transfers, slow node", 50, concurrentBodyBytes, fmt.Sprintf("mbs=%d", slowMiBPerSecond), 0},
+		{"50 transfers, slow client", 50, concurrentBodyBytes, "", slowMiBPerSecond << 20},
+		{"50 transfers, both slow", 50, concurrentBodyBytes, fmt.Sprintf("mbs=%d", slowMiBPerSecond), slowMiBPerSecond << 20},
 	} {
 		for _, direction := range []string{"up", "down"} {
 			h := sha256.New()
@@ -103,8 +103,8 @@
 			var shedCount atomic.Int32
 			for range row.count {
 				transfers.Go(func() {
-					got, shed, err := transferUntilAdmitted(daemonAddr, direction, "hash=1&"+row.query, row.size, true, row.clientRate)
-					shedCount.Add(int32(shed))
+					got, shedAttempts, err := transferUntilAdmitted(daemonAddr, direction, "hash=1&"+row.query, row.size, true, row.clientRate)
+					shedCount.Add(int32(shedAttempts))
 					if err != nil || got != want {
 						t.Errorf("%s, %s: hash %q, error %v, want %q", row.name, direction, got, err, want)
 					}
@@ -246,8 +246,8 @@
 // shed, small requests are served meanwhile, and all uploads have got a response when the daemon has shut down. The daemon gets
 // SIGTERM after TULIPROCK_TEST_UPLOAD_SECONDS seconds; if that variable is not set, the test is skipped.
 func TestManyConcurrentUploadsAreAllAnswered(t *testing.T) {
-	seconds, _ := strconv.Atoi(os.Getenv("TULIPROCK_TEST_UPLOAD_SECONDS"))
-	if seconds == 0 {
+	uploadSeconds, _ := strconv.Atoi(os.Getenv("TULIPROCK_TEST_UPLOAD_SECONDS"))
+	if uploadSeconds == 0 {
 		t.Skip("TULIPROCK_TEST_UPLOAD_SECONDS is not set: this is a measurement, for an idle machine")
 	}
 	daemon, daemonAddr, _ := startStreamingDaemon(t, "memory_mb = 192\nbody_memory_mb = 64\ndrain_timeout = \"1s\"")
@@ -276,7 +276,7 @@
 			}
 		})
 	}
-	time.Sleep(time.Duration(seconds) * time.Second)
+	time.Sleep(time.Duration(uploadSeconds) * time.Second)
 	p50, p99, shedFraction := measureSmallRequests(t, daemonAddr, 2*time.Second)
 	t.Logf("small requests meanwhile (latency objective 15 s): p50 %.0f us, p99 %.0f us, fraction shed %.3f; peak memory of the daemon %d KiB",
 		p50, p99, shedFraction, readProcessMemoryKiB(pid, "VmHWM"))
--- a/internal/hotrestart/compatibility_test.go
+++ b/internal/hotrestart/compatibility_test.go
@@ -30,7 +30,7 @@
 	return dir
 }
 
-// lockLiveFile locks a live file until the test ends, so that its process counts as alive.
+// lockLiveFile locks the live file of a process until the test ends. As long as this file is locked, the process counts as alive.
 func lockLiveFile(t *testing.T, path string) {
 	t.Helper()
 	f, err := os.Open(path)
--- a/internal/hotrestart/directory.go
+++ b/internal/hotrestart/directory.go
@@ -60,7 +60,7 @@
 	liveFile      *os.File // open file whose lock proves to other processes that this one lives
 
 	mu                   sync.Mutex  // guards lastState and the fields after it
-	lastState            State       // state that was read last
+	lastState            State       // state that this process last read and parsed without an error
 	lastStateFileInfo    os.FileInfo // identity and modification time of the file that lastState was read from; nil until a state is read
 	reportedDescriptors  int         // descriptor count that this process last wrote to its live file
 	lastReadErrorLogTime time.Time   // when an unreadable state was last logged
--- a/internal/hotrestart/directory_test.go
+++ b/internal/hotrestart/directory_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// expectView polls, and fails the test unless the process is superseded exactly if isSuperseded is true, and the live processes
-// besides it are others.
+// expectView polls, and fails the test unless the resulting View has the given values: isSuperseded says whether the process is
+// superseded, and others are the numbers of the other live processes.
 func (d *Directory) expectView(t *testing.T, isSuperseded bool, others ...int) {
 	t.Helper()
 	if _, v, _ := d.Poll(KeepReportedDescriptors); v.Superseded != isSuperseded || !slices.Equal(v.Others, others) {
@@ -138,14 +138,14 @@
 
 func TestDamagedStateIsLoggedAndSetAside(t *testing.T) {
 	state := State{Format: stateFormat, Name: "n1", Processes: []Process{{Number: 3}}, Ejections: []Ejection{{"s-1", true, 5}}}
-	intact, err := state.encode()
+	intactText, err := state.encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	withReplacement := func(old, replacement string) string { return strings.Replace(string(intact), old, replacement, 1) }
+	withReplacement := func(old, replacement string) string { return strings.Replace(string(intactText), old, replacement, 1) }
 	for name, text := range map[string]string{
 		"empty":                   "",
-		"truncated":               string(intact[:len(intact)/2]),
+		"truncated":               string(intactText[:len(intactText)/2]),
 		"random bytes":            "\x00\xff\x10",
 		"another format":          withReplacement(`"format": 1`, `"format": 2`),
 		"another sidecar":         withReplacement(`"n1"`, `"n2"`),
@@ -172,12 +172,12 @@
 			}
 		})
 	}
-	if s, err := ParseState(intact, "n1"); err != nil || len(s.Ejections) != 1 {
+	if s, err := ParseState(intactText, "n1"); err != nil || len(s.Ejections) != 1 {
 		t.Errorf("the intact state is parsed as %v with error %v, want 1 ejection", s, err)
 	}
 }
 
-func TestDamageWhileRunningKeepsTheLastStateUntilTheNextChange(t *testing.T) {
+func TestLastStateIsKeptUntilNextChangeIfFileIsDamaged(t *testing.T) {
 	dir := t.TempDir()
 	d := joinSidecar(t, dir)
 	if err := d.RecordEjection("s-1", true, time.Now()); err != nil {
--- a/internal/hotrestart/ejections.go
+++ b/internal/hotrestart/ejections.go
@@ -10,10 +10,10 @@
 	// MaxEjections bounds how many endpoints may be ejected manually at the same time. It is far more than an endpoint list
 	// has, and keeps the state at about 100 kB.
 	MaxEjections = 1024
-	// maxRestoredEntries bounds how many entries of restored endpoints a State keeps.
+	// maxRestoredEntries bounds how many entries a State keeps that record the restoration of an endpoint by an operator.
 	maxRestoredEntries = 1024
-	// restoredEntryRetention is how long the entry of a restored endpoint is kept. It exceeds the duration of an endpoint's
-	// slow start, and the time that a process takes to start.
+	// restoredEntryRetention is how long an entry is kept after an operator restored the endpoint. It exceeds the duration of an
+	// endpoint's slow start, and the time that a process takes to start.
 	restoredEntryRetention = time.Minute
 	// maxIDBytes is the maximum length of an endpoint's ID.
 	maxIDBytes = 512
@@ -36,10 +36,10 @@
 	return !e.Ejected && age < restoredEntryRetention && age > -restoredEntryRetention
 }
 
-// recordEjection adds the entry latest in place of an earlier entry of the same endpoint, and removes entries of endpoints that
-// were restored more than restoredEntryRetention before or after latest. If latest is the entry of a restored endpoint and
-// maxRestoredEntries other entries of restored endpoints remain, the first of them in the list is removed too. The error is
-// ErrTooManyEjections if latest ejects an endpoint while MaxEjections others are ejected.
+// recordEjection adds the entry latest, and removes an earlier entry of the same endpoint. It also removes each entry that records a
+// restoration whose time differs by more than restoredEntryRetention from that of latest. If latest records a restoration too, and
+// the State still has maxRestoredEntries restorations, the one that was recorded first is removed. The error is ErrTooManyEjections
+// if latest records an ejection while MaxEjections other endpoints are ejected.
 func (s *State) recordEjection(latest Ejection) error {
 	ejectedCount := 0
 	s.Ejections = slices.DeleteFunc(s.Ejections, func(e Ejection) bool {
@@ -54,8 +54,8 @@
 		return ErrTooManyEjections
 	}
 	if restoredCount := len(s.Ejections) - ejectedCount; !latest.Ejected && restoredCount >= maxRestoredEntries {
-		oldest := slices.IndexFunc(s.Ejections, func(e Ejection) bool { return !e.Ejected })
-		s.Ejections = slices.Delete(s.Ejections, oldest, oldest+1)
+		firstRestored := slices.IndexFunc(s.Ejections, func(e Ejection) bool { return !e.Ejected })
+		s.Ejections = slices.Delete(s.Ejections, firstRestored, firstRestored+1)
 	}
 	s.Ejections = append(s.Ejections, latest)
 	return nil
--- a/internal/hotrestart/ejections_test.go
+++ b/internal/hotrestart/ejections_test.go
@@ -36,7 +36,7 @@
 	for i := range 3 * MaxEjections {
 		atMs := int64(i)
 		err := s.recordEjection(Ejection{fmt.Sprint("o", i), true, atMs})
-		if isRecorded := i < MaxEjections; isRecorded != (err == nil) || !isRecorded && !errors.Is(err, ErrTooManyEjections) {
+		if wantRecorded := i < MaxEjections; wantRecorded != (err == nil) || !wantRecorded && !errors.Is(err, ErrTooManyEjections) {
 			t.Fatalf("ejection %d: error %v; want ErrTooManyEjections from ejection %d on, and none before", i, err, MaxEjections)
 		}
 		if err := s.recordEjection(Ejection{fmt.Sprint("b", i), false, atMs}); err != nil {
--- a/internal/hotrestart/lifecycle.go
+++ b/internal/hotrestart/lifecycle.go
@@ -6,9 +6,9 @@
 	// endpointListTimeout is how long a starting process waits for complete endpoint lists. The discovery service runs on the
 	// same machine, and responds at once or not at all.
 	endpointListTimeout = 2 * time.Second
-	// successorMinStartTime is the minimum time for which a successor stays in phase Starting. Within this time the older
+	// successorMinStartingTime is the minimum time for which a successor stays in phase Starting. Within this time the older
 	// processes poll and lower their descriptor limits, so that descriptors are free for the successor.
-	successorMinStartTime = 3 * PollInterval / 2
+	successorMinStartingTime = 3 * PollInterval / 2
 	// minDrainTime is the minimum time for which a superseded process keeps running, so that it can serve again if its
 	// successor dies soon.
 	minDrainTime = time.Second
@@ -53,7 +53,7 @@
 func (l *Lifecycle) nextPhase(timeInPhase time.Duration, v View, hasEndpointLists bool, connections int) Phase {
 	switch l.phase {
 	case Starting:
-		isReady := timeInPhase >= successorMinStartTime && hasEndpointLists || timeInPhase >= endpointListTimeout
+		isReady := timeInPhase >= successorMinStartingTime && hasEndpointLists || timeInPhase >= endpointListTimeout
 		if len(v.Others) == 0 || isReady {
 			return Serving
 		}
--- a/internal/hotrestart/lifecycle_test.go
+++ b/internal/hotrestart/lifecycle_test.go
@@ -22,7 +22,7 @@
 		},
 		"a successor waits until the older process has polled": {
 			{0, withOlder, true, 0, Starting},
-			{successorMinStartTime, withOlder, true, 0, Serving},
+			{successorMinStartingTime, withOlder, true, 0, Serving},
 			{s, withOlder, true, 9, Serving},
 		},
 		"the endpoint lists stay incomplete": {
--- a/internal/hotrestart/livefile.go
+++ b/internal/hotrestart/livefile.go
@@ -38,8 +38,9 @@
 	defer func() { _ = f.Close() }() // the file was only read, so an error of Close has no effect
 	err = unix.Flock(int(f.Fd()), unix.LOCK_SH|unix.LOCK_NB)
 	if err == nil {
-		// The file is removed while it is locked here, so that it can't be that of a new process with the same number, which
-		// would hold the lock. If the removal fails, the next call tries again.
+		// A new process with the same number would have locked the file, and Flock would have failed; so the file is that of a dead
+		// process. It is removed before this call releases its own lock, so that no new process can lock it meanwhile. If the
+		// removal fails, the next call tries again.
 		_ = os.Remove(f.Name())
 	}
 	return errors.Is(err, unix.EWOULDBLOCK)
--- a/internal/wal/compatibility_test.go
+++ b/internal/wal/compatibility_test.go
@@ -19,7 +19,7 @@
 	for _, c := range []struct {
 		name          string
 		snapshotIndex uint64       // index of the last record that the snapshot replaces; 0: there is no snapshot
-		snapshotBody  string       // body of the snapshot; empty if there is none
+		snapshotBody  string       // body of the snapshot; empty if there is no snapshot
 		records       []wal.Record // records after the snapshot
 	}{
 		{name: "segments", records: earlierRecords(1)},
@@ -47,10 +47,10 @@
 	}
 }
 
-// earlierRecords returns the records from the index first to the last one, 40, that the earlier build wrote.
-func earlierRecords(first uint64) []wal.Record {
+// earlierRecords returns the records from firstIndex to index 40, the last one that the earlier build wrote.
+func earlierRecords(firstIndex uint64) []wal.Record {
 	var records []wal.Record
-	for i := first; i <= 40; i++ {
+	for i := firstIndex; i <= 40; i++ {
 		records = append(records, wal.Record{
 			Index:   i,
 			Type:    "hem"[i%3],
--- a/internal/wal/format_test.go
+++ b/internal/wal/format_test.go
@@ -11,10 +11,12 @@
 
 // The files of a log with a snapshot have exactly the bytes that docs/wal-format.md specifies.
 func TestFilesHaveBytesOfFormatVersion1(t *testing.T) {
-	const header = "01000000" + "00000000" + "0100000000000000" // version, four zero bytes, index
+	// format version, four zero bytes, index of the record that the file is named after
+	const header = "01000000" + "00000000" + "0100000000000000"
 	want := map[string]string{
 		"00000000000000000001.log": hex.EncodeToString([]byte("TULIPWAL")) + header + "6c963a6b" + "00000000" +
-			// of each record: checksum, payload length, type, index, index synced when it was appended, payload
+			// of each record: checksum, payload length, type, index, index of the last record that was durable when the record was
+			// appended, payload
 			"a515afce" + "05000000" + "74" + "0100000000000000" + "0000000000000000" + "6669727374" +
 			"a8fd78da" + "00000000" + "74" + "0200000000000000" + "0000000000000000" +
 			"1928b3c7" + "02000000" + "75" + "0300000000000000" + "0200000000000000" + "00ff",
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -17,7 +17,7 @@
 // recoveredContent collects what wal.Open passes to its callbacks.
 type recoveredContent struct {
 	snapshotIndex uint64            // index of the restored snapshot; 0: there was none
-	body          string            // body of the restored snapshot
+	snapshotBody  string            // body of the restored snapshot
 	records       map[uint64]string // type and payload of each replayed record, by index
 	repairs       []string          // messages that Open passed to Options.OnRepair
 }
@@ -31,7 +31,7 @@
 	options := wal.Options{SegmentBytes: segmentBytes, OnRepair: func(line string) { got.repairs = append(got.repairs, line) }}
 	l, err := wal.Open(fs, options, func(index uint64, r io.Reader) error {
 		body, err := io.ReadAll(r)
-		got.snapshotIndex, got.body = index, string(body)
+		got.snapshotIndex, got.snapshotBody = index, string(body)
 		return err
 	}, func(r wal.Record) error {
 		got.records[r.Index] = string(r.Type) + string(r.Payload)
@@ -56,8 +56,8 @@
 	if nextIndex-1 < m.syncedIndex || nextIndex-1 > uint64(len(m.payloads)) {
 		return fmt.Errorf("%d records were recovered, want at least the %d synced and at most the %d appended ones", nextIndex-1, m.syncedIndex, len(m.payloads))
 	}
-	if got.snapshotIndex < m.snapshotIndex || got.snapshotIndex > 0 && got.body != snapshotBody(got.snapshotIndex) {
-		return fmt.Errorf("the recovered snapshot is %q at index %d, want one at index %d or later", got.body, got.snapshotIndex, m.snapshotIndex)
+	if got.snapshotIndex < m.snapshotIndex || got.snapshotIndex > 0 && got.snapshotBody != snapshotBody(got.snapshotIndex) {
+		return fmt.Errorf("the recovered snapshot is %q at index %d, want one at index %d or later", got.snapshotBody, got.snapshotIndex, m.snapshotIndex)
 	}
 	for i := got.snapshotIndex + 1; i < nextIndex; i++ {
 		if record, ok := got.records[i]; !ok || record != "t"+m.payloads[i-1] {
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// Synced records survive crashes and disk errors. A failing history is reduced to a small one.
+// Synced records survive crashes and disk errors in random sequences of calls. A sequence that fails is reduced to a short one.
 func TestSyncedRecordsSurviveCrashes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -140,7 +140,8 @@
 	})
 }
 
-// Synced records survive crashes and disk errors in thousands of histories. A failing history is not reduced to a small one.
+// Synced records survive crashes and disk errors in thousands of random sequences of calls. A sequence that fails is not reduced to
+// a short one.
 func TestSyncedRecordsSurviveCrashesInThousandsOfHistories(t *testing.T) {
 	for seed := range uint64(5000) {
 		if err := checkHistory(simdisk.New(), rand.New(rand.NewPCG(seed, 2)), 60); err != nil {
@@ -149,8 +150,8 @@
 	}
 }
 
-// The random histories of checkHistory can detect a loss of records: at least one of 50 fails on a disk whose Sync reports success
-// but makes nothing durable.
+// The random sequences of calls that checkHistory makes can detect a loss of records: at least one of 50 fails on a disk whose Sync
+// reports success but makes nothing durable.
 func TestHistoriesDetectDiskWithoutSync(t *testing.T) {
 	for seed := range uint64(50) {
 		disk := simdisk.New()
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -65,8 +65,8 @@
 )
 
 // decodeRecord decodes the record at the beginning of b. It returns an error if the record is incomplete or damaged, or has another
-// index than the expected one.
-func decodeRecord(b []byte, index uint64) (decodedRecord, error) {
+// index than expectedIndex.
+func decodeRecord(b []byte, expectedIndex uint64) (decodedRecord, error) {
 	if len(b) < recordHeaderBytes {
 		return decodedRecord{}, errRecordHeaderTruncated
 	}
@@ -81,11 +81,11 @@
 	if checksum(b[recordLengthOffset:size]) != binary.LittleEndian.Uint32(b[recordChecksumOffset:]) {
 		return decodedRecord{}, errRecordChecksum
 	}
-	if got := binary.LittleEndian.Uint64(b[recordIndexOffset:]); got != index {
-		return decodedRecord{}, fmt.Errorf("record %d found, record %d expected", got, index)
+	if got := binary.LittleEndian.Uint64(b[recordIndexOffset:]); got != expectedIndex {
+		return decodedRecord{}, fmt.Errorf("record %d found, record %d expected", got, expectedIndex)
 	}
 	return decodedRecord{
-		Record:       Record{Index: index, Type: b[recordTypeOffset], Payload: b[recordHeaderBytes:size:size]},
+		Record:       Record{Index: expectedIndex, Type: b[recordTypeOffset], Payload: b[recordHeaderBytes:size:size]},
 		syncedIndex:  binary.LittleEndian.Uint64(b[recordSyncedIndexOffset:]),
 		encodedBytes: size,
 	}, nil
--- a/internal/wal/recovery.go
+++ b/internal/wal/recovery.go
@@ -132,7 +132,9 @@
 		}
 	}
 	r.syncedIndex = r.nextIndex - 1
-	if r.activeSegment != nil && r.nextIndexInLastSegment < r.nextIndex { // the next record begins a segment, since indexes within a segment must have no gap
+	// If the last segment lacks records before nextIndex, which the snapshot replaces, the next record must begin a new segment, since
+	// the indexes within a segment must have no gap.
+	if r.activeSegment != nil && r.nextIndexInLastSegment < r.nextIndex {
 		return r.rotate()
 	}
 	return nil
@@ -174,7 +176,7 @@
 
 // segmentFile is a segment that was read from the directory.
 type segmentFile struct {
-	fileName        string // name of the segment's file
+	fileName        string // name of the file in the log's directory, without a path
 	firstIndex      uint64 // index of the segment's first record
 	content         []byte // all bytes of the file, including the header
 	isFirst, isLast bool   // whether the segment is the first, and whether it is the last, of the segments that are replayed
--- a/internal/wal/segment.go
+++ b/internal/wal/segment.go
@@ -34,7 +34,7 @@
 // snapshotName returns the name of the snapshot that replaces the records up to index.
 func snapshotName(index uint64) string { return fileName(index, snapshotSuffix) }
 
-// fileName returns the name of the file for an index, with the suffix of its kind.
+// fileName returns the name of a segment or a snapshot: index in decimal digits, and then segmentSuffix or snapshotSuffix.
 func fileName(index uint64, suffix string) string {
 	return fmt.Sprintf("%0*d%s", fileNameDigits, index, suffix)
 }
