--- a/internal/testkit/baseline/baseline.go
+++ b/internal/testkit/baseline/baseline.go
@@ -49,23 +49,23 @@
 
 // balancer implements balance.Events with a textbook policy.
 type balancer struct {
-	host            balance.Host
-	settings        balance.Settings
-	policy          policy
-	rng             *rand.Rand
-	idempotency     map[string]balance.Idempotency // idempotency of the requests of each class, by class name
-	states          map[string]balance.State       // state of each listed endpoint, by endpoint ID
-	ejected         map[string]bool                // IDs of the manually ejected endpoints, listed or not; all values are true
-	ready           []string                       // sorted IDs of the endpoints that are ready and not ejected
-	inFlight        map[string]int                 // number of attempts in flight by endpoint ID; endpoints without any are absent
-	roundRobinCount int                            // number of attempts that round robin has assigned so far
-	requests        map[string]*request            // requests without a final response or with an attempt in flight, by request ID
+	host               balance.Host
+	settings           balance.Settings
+	policy             policy
+	rng                *rand.Rand
+	idempotency        map[string]balance.Idempotency // idempotency of the requests of each class, by class name
+	states             map[string]balance.State       // state of each listed endpoint, by endpoint ID
+	ejected            map[string]bool                // IDs of the manually ejected endpoints, listed or not; all values are true
+	ready              []string                       // sorted IDs of the endpoints that are ready and not ejected
+	inFlight           map[string]int                 // number of attempts in flight by endpoint ID; endpoints without any are absent
+	roundRobinAttempts int                            // number of attempts that round robin has assigned so far
+	requests           map[string]*request            // requests without a final response or with an attempt in flight, by request ID
 }
 
 // request is a client's request and the state of its attempts.
 type request struct {
 	balance.Request
-	attempted          []string // IDs of the endpoints that attempts were sent to, in order
+	attemptedEndpoints []string // IDs of the endpoints that attempts were sent to, in order
 	hasAttemptInFlight bool     // whether an attempt is in flight
 	isFinished         bool     // whether the request has its final response, or its client has disconnected
 	mayHaveRun         bool     // whether the endpoint of an earlier attempt may have executed the request
@@ -73,8 +73,8 @@
 
 // roundRobin chooses the candidates in turn.
 func roundRobin(b *balancer, candidates []string) string {
-	b.roundRobinCount++
-	return candidates[b.roundRobinCount%len(candidates)]
+	b.roundRobinAttempts++
+	return candidates[b.roundRobinAttempts%len(candidates)]
 }
 
 // leastOutstanding chooses a candidate with the fewest attempts in flight; ties are decided at random.
@@ -124,16 +124,16 @@
 	b.send(now, q)
 }
 
-// send makes the next attempt, at an endpoint that the request has not been sent to yet. If there is none, or if the attempts
-// or the time are used up, it finishes the request.
+// send makes the next attempt, at an endpoint that the request has not been sent to yet. If no such endpoint is ready, if
+// MaxAttempts attempts were made, or if the request's deadline has passed, send finishes the request.
 func (b *balancer) send(now time.Duration, q *request) {
-	candidates := slices.DeleteFunc(slices.Clone(b.ready), func(id string) bool { return slices.Contains(q.attempted, id) })
-	if len(candidates) == 0 || b.settings.MaxAttempts > 0 && len(q.attempted) >= b.settings.MaxAttempts || now >= q.Deadline {
+	candidates := slices.DeleteFunc(slices.Clone(b.ready), func(id string) bool { return slices.Contains(q.attemptedEndpoints, id) })
+	if len(candidates) == 0 || b.settings.MaxAttempts > 0 && len(q.attemptedEndpoints) >= b.settings.MaxAttempts || now >= q.Deadline {
 		b.finish(q)
 		return
 	}
 	id := b.policy(b, candidates)
-	q.attempted, q.hasAttemptInFlight = append(q.attempted, id), true
+	q.attemptedEndpoints, q.hasAttemptInFlight = append(q.attemptedEndpoints, id), true
 	b.inFlight[id]++
 	b.host.Send(q.ID, id, q.Deadline-now)
 }
--- a/internal/testkit/baseline/baseline_test.go
+++ b/internal/testkit/baseline/baseline_test.go
@@ -11,12 +11,12 @@
 // recordingHost is a balance.Host that records which attempts and final responses a balancer decides on.
 type recordingHost struct {
 	balance.Host
-	sent             []string // IDs of the endpoints that attempts were sent to, in order
+	sentTo           []string // IDs of the endpoints that attempts were sent to, in order
 	rejected, failed []string // IDs of the requests whose final response was a rejection or a failure, in order
 }
 
 func (h *recordingHost) Send(id, endpoint string, _ time.Duration) {
-	h.sent = append(h.sent, endpoint)
+	h.sentTo = append(h.sentTo, endpoint)
 }
 func (h *recordingHost) Reject(id string, _ time.Duration) { h.rejected = append(h.rejected, id) }
 func (h *recordingHost) Fail(id string)                    { h.failed = append(h.failed, id) }
@@ -55,12 +55,12 @@
 	for i := range 6 {
 		b.Request(0, newRequest(fmt.Sprint(i), idempotentClass))
 	}
-	sentTo := map[string]int{} // number of attempts by endpoint ID
-	for _, e := range h.sent {
-		sentTo[e]++
+	attemptsByEndpoint := map[string]int{} // number of attempts by endpoint ID
+	for _, e := range h.sentTo {
+		attemptsByEndpoint[e]++
 	}
-	if sentTo["a"] != 2 || sentTo["b"] != 2 || sentTo["c"] != 2 {
-		t.Errorf("6 requests were sent to %v, want 2 to each of a, b and c", h.sent)
+	if attemptsByEndpoint["a"] != 2 || attemptsByEndpoint["b"] != 2 || attemptsByEndpoint["c"] != 2 {
+		t.Errorf("6 requests were sent to %v, want 2 to each of a, b and c", h.sentTo)
 	}
 }
 
@@ -68,13 +68,13 @@
 	b, h := newBalancer(t, "least-outstanding", "a", "b")
 	b.Request(0, newRequest("1", idempotentClass))
 	b.Request(0, newRequest("2", idempotentClass))
-	if h.sent[0] == h.sent[1] {
-		t.Errorf("both requests were sent to %s, want one to each endpoint", h.sent[0])
+	if h.sentTo[0] == h.sentTo[1] {
+		t.Errorf("both requests were sent to %s, want one to each endpoint", h.sentTo[0])
 	}
-	b.Outcome(0, balance.Outcome{ID: "1", Endpoint: h.sent[0], Result: balance.OK})
+	b.Outcome(0, balance.Outcome{ID: "1", Endpoint: h.sentTo[0], Result: balance.OK})
 	b.Request(0, newRequest("3", idempotentClass))
-	if h.sent[2] != h.sent[0] {
-		t.Errorf("the third request was sent to %s, want the endpoint without an attempt in flight, %s", h.sent[2], h.sent[0])
+	if h.sentTo[2] != h.sentTo[0] {
+		t.Errorf("the third request was sent to %s, want the endpoint without an attempt in flight, %s", h.sentTo[2], h.sentTo[0])
 	}
 }
 
@@ -96,12 +96,12 @@
 		} {
 			b, h := newBalancer(t, name, "a", "b", "c", "d")
 			b.Request(0, newRequest("r", c.class))
-			for i := 0; i < len(h.sent) && i < 9; i++ {
-				b.Outcome(0, balance.Outcome{ID: "r", Attempt: i, Endpoint: h.sent[i], Result: c.result})
+			for i := 0; i < len(h.sentTo) && i < 9; i++ {
+				b.Outcome(0, balance.Outcome{ID: "r", Attempt: i, Endpoint: h.sentTo[i], Result: c.result})
 			}
-			if len(h.sent) != c.sent || len(h.rejected) != c.rejected || len(h.failed) != c.failed {
+			if len(h.sentTo) != c.sent || len(h.rejected) != c.rejected || len(h.failed) != c.failed {
 				t.Errorf("%s: %s request with result %v: %d attempts, %d rejections, %d failures, want %d, %d, %d",
-					name, c.class, c.result, len(h.sent), len(h.rejected), len(h.failed), c.sent, c.rejected, c.failed)
+					name, c.class, c.result, len(h.sentTo), len(h.rejected), len(h.failed), c.sent, c.rejected, c.failed)
 			}
 			if b := b.(*balancer); len(b.requests) != 0 || len(b.inFlight) != 0 {
 				t.Errorf("%s: after the final response the balancer holds %d requests and %d in-flight counts, want none", name, len(b.requests), len(b.inFlight))
@@ -118,13 +118,13 @@
 	}
 	b.EndpointList(0, balance.EndpointUpdate{Complete: true})
 	b.Request(0, newRequest("last", idempotentClass))
-	for _, e := range h.sent {
+	for _, e := range h.sentTo {
 		if e != "b" {
 			t.Errorf("an attempt was sent to %s, which is draining", e)
 		}
 	}
-	if len(h.sent) != 20 || len(h.rejected) != 1 {
-		t.Errorf("%d attempts sent and %d requests rejected, want 20 and 1", len(h.sent), len(h.rejected))
+	if len(h.sentTo) != 20 || len(h.rejected) != 1 {
+		t.Errorf("%d attempts sent and %d requests rejected, want 20 and 1", len(h.sentTo), len(h.rejected))
 	}
 }
 
@@ -132,9 +132,9 @@
 	b, h := newBalancer(t, "random", "a", "b")
 	b.Request(0, newRequest("r", idempotentClass))
 	b.ClientDisconnected(0, "r")
-	b.Outcome(0, balance.Outcome{ID: "r", Endpoint: h.sent[0], Result: balance.Reset})
-	if len(h.sent) != 1 || len(h.rejected)+len(h.failed) != 0 || len(b.(*balancer).requests) != 0 {
+	b.Outcome(0, balance.Outcome{ID: "r", Endpoint: h.sentTo[0], Result: balance.Reset})
+	if len(h.sentTo) != 1 || len(h.rejected)+len(h.failed) != 0 || len(b.(*balancer).requests) != 0 {
 		t.Errorf("after a disconnect: attempts %v, rejected %v, failed %v, %d requests held, want one attempt and nothing else",
-			h.sent, h.rejected, h.failed, len(b.(*balancer).requests))
+			h.sentTo, h.rejected, h.failed, len(b.(*balancer).requests))
 	}
 }
--- a/internal/testkit/fake/agent.go
+++ b/internal/testkit/fake/agent.go
@@ -11,7 +11,7 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// Member describes a node in the endpoint list that sidecars receive. The names in its tags are fixed by the platform's protocol.
+// Member describes a node in the endpoint list that sidecars receive. The platform's protocol fixes the JSON names of the fields.
 type Member struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
@@ -26,7 +26,7 @@
 // MemberList is a message from discovery. It holds all members, or only those that have changed.
 type MemberList struct {
 	Version int64    `json:"version"` // version of the list, which increases with each change of a member
-	Full    bool     `json:"full"`    // whether Servers holds all members; otherwise, the changes since an earlier version
+	IsFull  bool     `json:"full"`    // whether Servers holds all members; otherwise, the changes since an earlier version
 	Servers []Member `json:"servers"`
 }
 
@@ -50,8 +50,9 @@
 // version gets the full list.
 const maxChanges = 256
 
-// Agent is a fake of the discovery agent that runs on the machine of a sidecar. It responds at once with the list or the
-// changes that it has, and sends nothing while discovery is down. It is safe for concurrent use. Close ends its goroutines.
+// Agent is a fake of the discovery agent that runs on the machine of a sidecar. It responds at once with its endpoint list, or
+// with the changes of the list, and sends nothing while discovery is down. It is safe for concurrent use. Close ends its
+// goroutines.
 type Agent struct {
 	Sidecar  string // name of the sidecar that the agent serves
 	Addr     string // address that the agent listens on
@@ -179,7 +180,7 @@
 
 // fullList returns the list of all members. a.mu must be held.
 func (a *Agent) fullList() MemberList {
-	list := MemberList{Version: a.version, Full: true, Servers: []Member{}}
+	list := MemberList{Version: a.version, IsFull: true, Servers: []Member{}}
 	for _, id := range a.memberOrder {
 		list.Servers = append(list.Servers, a.members[id])
 	}
--- a/internal/testkit/fake/agent_test.go
+++ b/internal/testkit/fake/agent_test.go
@@ -57,23 +57,23 @@
 
 func TestAgentSendsChangesToWatch(t *testing.T) {
 	agent, recorder := newTestAgent(t)
-	if list := readList(t, getMembers(t, agent, "")); !list.Full || list.Version != 1 || len(list.Servers) != 1 || list.Servers[0].ID != "a" {
+	if list := readList(t, getMembers(t, agent, "")); !list.IsFull || list.Version != 1 || len(list.Servers) != 1 || list.Servers[0].ID != "a" {
 		t.Errorf("full list is %+v, want version 1 with member a only", list)
 	}
 	watch := getMembers(t, agent, "?watch=1&after=1")
-	if list := readList(t, watch); list.Full || len(list.Servers) != 0 {
+	if list := readList(t, watch); list.IsFull || len(list.Servers) != 0 {
 		t.Errorf("watch without changes got %+v, want an empty list of changes", list)
 	}
 	agent.Update(Member{ID: "b", Addr: "127.0.0.1:2", State: StateReady})
-	if list := readList(t, watch); list.Full || list.Version != 2 || len(list.Servers) != 1 || list.Servers[0].ID != "b" {
+	if list := readList(t, watch); list.IsFull || list.Version != 2 || len(list.Servers) != 1 || list.Servers[0].ID != "b" {
 		t.Errorf("watch got %+v after b was added, want version 2 with the change of b", list)
 	}
 	agent.Update(Member{ID: "a", State: StateGone})
 	readList(t, watch)
-	if list := readList(t, getMembers(t, agent, "?watch=1&after=0")); !list.Full || len(list.Servers) != 1 || list.Servers[0].ID != "b" {
+	if list := readList(t, getMembers(t, agent, "?watch=1&after=0")); !list.IsFull || len(list.Servers) != 1 || list.Servers[0].ID != "b" {
 		t.Errorf("watch from a version before the kept changes got %+v, want the full list with b only", list)
 	}
-	if list := readList(t, getMembers(t, agent, "?watch=1&after=2")); list.Full || len(list.Servers) != 1 || list.Servers[0].State != StateGone {
+	if list := readList(t, getMembers(t, agent, "?watch=1&after=2")); list.IsFull || len(list.Servers) != 1 || list.Servers[0].State != StateGone {
 		t.Errorf("watch resumed at version 2 got %+v, want the change of a to Gone", list)
 	}
 	if list := agent.NotifiedList(); len(list.Servers) != 1 || list.Servers[0].ID != "b" {
--- a/internal/testkit/fake/agent_watch.go
+++ b/internal/testkit/fake/agent_watch.go
@@ -37,7 +37,7 @@
 	for isFirst := true; ; isFirst = false {
 		list, ok := a.awaitList(r, func() (MemberList, bool) {
 			list := a.changesSince(after)
-			return list, isFirst || list.Full || len(list.Servers) > 0
+			return list, isFirst || list.IsFull || len(list.Servers) > 0
 		})
 		switch {
 		case ok:
@@ -115,7 +115,7 @@
 	if list.Version >= previous.Version {
 		a.notifiedList = a.fullList()
 	}
-	if !list.Full {
+	if !list.IsFull {
 		return nil
 	}
 	isListed := map[string]bool{}
--- a/internal/testkit/fake/client.go
+++ b/internal/testkit/fake/client.go
@@ -16,7 +16,7 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// Request is one request that a client sends.
+// Request describes a request for Client.Do: what the client sends, and how long it waits for the response.
 type Request struct {
 	ID             string                // unique ID of the request; a retry by the client has a new ID
 	Class          int                   // index of the request's class in the classes given to NewClient
@@ -45,8 +45,8 @@
 	classes            []Class
 	registry           *Registry
 	recorder           *Recorder
-	tolerance          time.Duration        // time after the deadline within which a response does not count as late
-	maxIdle            int                  // largest number of idle connections that are kept for reuse
+	lateTolerance      time.Duration        // time after the deadline within which a response does not count as late
+	maxIdleConnections int                  // largest number of idle connections that are kept for reuse
 	connectionLifetime func() time.Duration // draws the time for which a new connection is used; nil: unlimited
 
 	mu   sync.Mutex
@@ -62,11 +62,11 @@
 }
 
 const (
-	// dialTimeout limits the time in which a connection to a sidecar is opened. It is short, since the front layer goes on choosing
-	// a dead sidecar for seconds until the sidecar is removed.
+	// dialTimeout limits the time in which a connection to a sidecar is opened. It is short, since the front layer, the load balancer
+	// between clients and sidecars, goes on choosing a dead sidecar for seconds until the sidecar is removed.
 	dialTimeout    = 500 * time.Millisecond
 	extraBytesWait = time.Millisecond // time for which a client waits for surplus bytes after a response
-	// lateAllowance is how long after the deadline and the tolerance a client still waits for a response. A response within
+	// lateAllowance is how long after the deadline and lateTolerance a client still waits for a response. A response within
 	// this time is recorded, and the invariant checker reports it as late rather than as missing.
 	lateAllowance = 100 * time.Millisecond
 )
@@ -74,10 +74,11 @@
 // errNoSidecar is returned by dial if Request.Connect finds no sidecar.
 var errNoSidecar = errors.New("the front layer has no sidecar")
 
-// NewClient returns a client that keeps at most maxIdle idle connections. A response counts as late if it comes later than
-// tolerance after the request's deadline.
-func NewClient(classes []Class, registry *Registry, recorder *Recorder, tolerance time.Duration, maxIdle int) *Client {
-	return &Client{classes: classes, registry: registry, recorder: recorder, tolerance: tolerance, maxIdle: maxIdle}
+// NewClient returns a client that keeps at most maxIdleConnections idle connections. A response counts as late if it comes later
+// than lateTolerance after the request's deadline.
+func NewClient(classes []Class, registry *Registry, recorder *Recorder, lateTolerance time.Duration, maxIdleConnections int) *Client {
+	return &Client{classes: classes, registry: registry, recorder: recorder, lateTolerance: lateTolerance,
+		maxIdleConnections: maxIdleConnections}
 }
 
 // SetConnectionLifetime makes the client use each new connection only for a time that draw returns. It must be called before
@@ -110,11 +111,11 @@
 	return nil
 }
 
-// putIdle keeps a connection for reuse, or closes it if maxIdle connections are idle already.
+// putIdle keeps a connection for reuse, or closes it if maxIdleConnections connections are idle already.
 func (c *Client) putIdle(conn *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.idle) >= c.maxIdle {
+	if len(c.idle) >= c.maxIdleConnections {
 		conn.Close()
 		return
 	}
@@ -169,7 +170,7 @@
 // whether the connection was opened for the request.
 func (c *Client) exchange(conn *clientConn, r Request, deadline time.Duration, isNew bool, outcome *Outcome) bool {
 	c.recorder.Add(invariant.Event{Kind: invariant.RequestSent, Request: r.ID, Sidecar: conn.sidecar, Class: r.Class,
-		Deadline: deadline}) // the event is recorded before the write, which causes further events
+		Deadline: deadline}) // recorded before the request is written, since the write causes further events
 	if _, err := io.WriteString(conn, c.encodeRequest(r, deadline)); err != nil {
 		conn.Close()
 		if isNew {
@@ -178,17 +179,17 @@
 		return isNew
 	}
 	outcome.IsAccepted = true
-	giveUpAt, leavesEarly := deadline+c.tolerance+lateAllowance, false
+	giveUpAt, disconnectsEarly := deadline+c.lateTolerance+lateAllowance, false
 	if r.LeaveAfter > 0 && deadline-r.Timeout+r.LeaveAfter < giveUpAt {
-		giveUpAt, leavesEarly = deadline-r.Timeout+r.LeaveAfter, true
+		giveUpAt, disconnectsEarly = deadline-r.Timeout+r.LeaveAfter, true
 	}
 	_ = conn.SetReadDeadline(time.Now().Add(giveUpAt - c.recorder.Now()))
 	if _, err := conn.reader.Peek(1); err != nil {
 		conn.Close()
 		switch {
-		case errors.Is(err, os.ErrDeadlineExceeded) && leavesEarly:
+		case errors.Is(err, os.ErrDeadlineExceeded) && disconnectsEarly:
 			outcome.HasLeft = true
-			c.recorder.Add(invariant.Event{Kind: invariant.ClientLeft, Request: r.ID})
+			c.recorder.Add(invariant.Event{Kind: invariant.ClientDisconnected, Request: r.ID})
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			c.recorder.Add(invariant.Event{Kind: invariant.ResponseOverdue, Request: r.ID})
 		case !isNew:
@@ -205,7 +206,7 @@
 // readResponse reads a response whose first byte has come. It keeps the connection for reuse unless the response is incomplete,
 // further bytes follow it, or the sidecar closes the connection.
 func (c *Client) readResponse(conn *clientConn, r Request, deadline time.Duration, outcome *Outcome) {
-	_ = conn.SetReadDeadline(time.Now().Add(max(deadline-c.recorder.Now(), 0) + c.tolerance + lateAllowance))
+	_ = conn.SetReadDeadline(time.Now().Add(max(deadline-c.recorder.Now(), 0) + c.lateTolerance + lateAllowance))
 	resp, err := http.ReadResponse(conn.reader, nil)
 	var body []byte
 	if err == nil {
--- a/internal/testkit/fake/client_test.go
+++ b/internal/testkit/fake/client_test.go
@@ -32,11 +32,11 @@
 func TestClientRecordsHowARequestEnds(t *testing.T) {
 	const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nID n1"
 	for _, c := range []struct {
-		name       string
-		response   string
-		status     int
-		kinds      []invariant.Kind
-		leaveAfter time.Duration
+		name            string
+		response        string
+		wantStatus      int
+		wantKinds       []invariant.Kind
+		disconnectAfter time.Duration
 	}{
 		{"served", okResponse, 200, []invariant.Kind{invariant.RequestSent, invariant.ResponseReceived}, 0},
 		{"rejected", "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.25\r\nContent-Length: 0\r\n\r\n", 503,
@@ -45,22 +45,22 @@
 		{"response cut", okResponse[:len(okResponse)-3] + "CLOSE", 0, []invariant.Kind{invariant.RequestSent, invariant.ConnectionLost}, 0},
 		{"connection closed", "CLOSE", 0, []invariant.Kind{invariant.RequestSent, invariant.ConnectionLost}, 0},
 		{"no response", "", 0, []invariant.Kind{invariant.RequestSent, invariant.ResponseOverdue}, 0},
-		{"client left", "", 0, []invariant.Kind{invariant.RequestSent, invariant.ClientLeft}, 20 * time.Millisecond},
+		{"client left", "", 0, []invariant.Kind{invariant.RequestSent, invariant.ClientDisconnected}, 20 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			connect, _ := newScriptedSidecar(t, c.response)
 			recorder := NewRecorder(time.Now(), 100)
 			client := NewClient(classes, &Registry{}, recorder, 50*time.Millisecond, 4)
 			out := client.Do(Request{ID: "ab", Class: readClass, Job: &Job{}, Timeout: 200 * time.Millisecond,
-				LeaveAfter: c.leaveAfter, Connect: connect})
+				LeaveAfter: c.disconnectAfter, Connect: connect})
 			client.Close()
 			events, _ := recorder.Events()
 			var kinds []invariant.Kind
 			for _, e := range events {
 				kinds = append(kinds, e.Kind)
 			}
-			if out.Status != c.status || !slices.Equal(kinds, c.kinds) || !out.HasDialed || out.HasLeft != (c.leaveAfter > 0) {
-				t.Errorf("outcome %+v and events %v, want status %d and events %v", out, kinds, c.status, c.kinds)
+			if out.Status != c.wantStatus || !slices.Equal(kinds, c.wantKinds) || !out.HasDialed || out.HasLeft != (c.disconnectAfter > 0) {
+				t.Errorf("outcome %+v and events %v, want status %d and events %v", out, kinds, c.wantStatus, c.wantKinds)
 			}
 			if c.name == "rejected" && out.RetryAfter != 250*time.Millisecond {
 				t.Errorf("RetryAfter is %v, want 250ms", out.RetryAfter)
--- a/internal/testkit/fake/dns.go
+++ b/internal/testkit/fake/dns.go
@@ -38,7 +38,7 @@
 	TTL      uint32     // time to live in seconds
 }
 
-// DNS is a DNS server on loopback over UDP and TCP (RFC 1035) that serves the records given to Set. Like a recursive server
+// DNS is a DNS server on loopback over UDP and TCP (RFC 1035) that serves the records given to SetRecords. Like a recursive server
 // it follows chains of aliases, up to dnsMaxLookups names, which also ends a loop of aliases. It is safe for concurrent use.
 // It has a goroutine for each protocol, TCP connection and UDP query in flight; Close ends them.
 type DNS struct {
@@ -59,7 +59,7 @@
 }
 
 const (
-	dnsMinPayload        = 512 // size in bytes of the UDP responses that every client accepts (RFC 1035); a query may state a larger one
+	dnsMinPayload        = 512 // size in bytes up to which every client accepts UDP responses (RFC 1035); a query may state that its sender accepts larger responses
 	dnsMaxLookups        = 8   // largest number of names that are looked up for one response, along a chain of aliases
 	dnsPortAttempts      = 20  // number of attempts to find a port that is free for both UDP and TCP
 	dnsConnectionTimeout = 10 * time.Second
@@ -95,7 +95,7 @@
 	d.handlers.Wait()
 }
 
-// SetRecords replaces the records of a name. Without records the name does not exist any more.
+// SetRecords replaces the records of a name. If no records are given, the name ceases to exist.
 func (d *DNS) SetRecords(name string, records ...DNSRecord) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -222,11 +222,11 @@
 	default:
 		response.Answers, response.RCode = d.answer(question)
 	}
-	limit := math.MaxInt
+	maxBytes := math.MaxInt
 	if !isTCP {
-		limit = payloadLimit(&parser)
+		maxBytes = payloadLimit(&parser)
 	}
-	message := packResponse(&response, limit)
+	message := packResponse(&response, maxBytes)
 	if fault == DNSHalfMessage {
 		message = message[:len(message)/2]
 	}
@@ -244,14 +244,14 @@
 	return dnsMinPayload
 }
 
-// packResponse encodes a response. A response of more than limit bytes is encoded without answers and marked as truncated.
+// packResponse encodes a response. A response of more than maxBytes bytes is encoded without answers and marked as truncated.
 // packResponse returns nil if the response cannot be encoded.
-func packResponse(response *dnsmessage.Message, limit int) []byte {
+func packResponse(response *dnsmessage.Message, maxBytes int) []byte {
 	message, err := response.Pack()
 	if err != nil {
 		return nil
 	}
-	if len(message) > limit {
+	if len(message) > maxBytes {
 		response.Answers, response.Truncated = nil, true
 		if message, err = response.Pack(); err != nil {
 			return nil
--- a/internal/testkit/fake/echo.go
+++ b/internal/testkit/fake/echo.go
@@ -23,12 +23,12 @@
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 		// The error is ignored, since the client may have closed the connection.
 		_, _ = fmt.Fprintf(w, "%s: %s %s, %d bytes\n", name, r.Method, r.RequestURI, len(body))
-		var names []string
+		var headerNames []string
 		for n := range r.Header {
-			names = append(names, n)
+			headerNames = append(headerNames, n)
 		}
-		slices.Sort(names)
-		for _, n := range names {
+		slices.Sort(headerNames)
+		for _, n := range headerNames {
 			_, _ = fmt.Fprintf(w, "%s: %q\n", n, r.Header[n])
 		}
 	})
--- a/internal/testkit/fake/node.go
+++ b/internal/testkit/fake/node.go
@@ -14,7 +14,7 @@
 )
 
 // NodeSpec describes a node. Work is simulated: a request occupies one of the node's cores for the time that its work
-// takes. The tags give the names that some fields have in printed plans.
+// takes. The JSON tags give the names that some fields have in printed plans.
 type NodeSpec struct {
 	ID                   string // unique ID of the node
 	Zone                 string
@@ -27,7 +27,7 @@
 	QueueLimit           int           `json:"Room"`         // number of requests that may wait for a slot; further ones are rejected
 	ColdCapacityFraction float64       `json:"ColdFrom"`     // fraction of the full speed that the node has right after a cold start
 	WarmUpDuration       time.Duration `json:"ColdFor"`      // time from a cold start in which the speed rises linearly to the full speed
-	ColdOverloadFactor   float64       `json:"FallMultiple"` // multiple of its present capacity at which a warming node collapses; 0: never
+	ColdOverloadFactor   float64       `json:"FallMultiple"` // multiple of a warming node's present capacity above which the work sent to the node makes it collapse; 0: never
 	ColdOverloadWindow   time.Duration `json:"FallAfter"`    // length of the window over which the work sent to a warming node is summed
 	HandshakeWork        time.Duration `json:"Handshake"`    // extra work of the first request on a connection, on a core of speed 1
 	IdleTimeout          time.Duration `json:"IdleFor"`      // time after which an idle connection is closed; 0: never
@@ -65,7 +65,7 @@
 // incarnation is one process of a node, from its start to its stop.
 type incarnation struct {
 	startedAt    time.Time
-	startOffset  time.Duration // startedAt as time since the start of the recorder
+	startOffset  time.Duration // time from the start of the recorder to the start of the process
 	startedCold  bool          // whether the process started without its caches and so warms up
 	done         chan struct{} // closed by Node.Stop, which ends the process
 	listener     net.Listener
@@ -123,8 +123,8 @@
 		startedCold: isCold,
 		done:        make(chan struct{}),
 		listener:    listener,
-		slots:       &semaphore{free: n.Slots, maxWaiting: n.QueueLimit},
-		cores:       &semaphore{free: n.Cores, maxWaiting: math.MaxInt},
+		slots:       &semaphore{freeSlots: n.Slots, maxWaiting: n.QueueLimit},
+		cores:       &semaphore{freeSlots: n.Cores, maxWaiting: math.MaxInt},
 		connections: map[net.Conn]bool{},
 	}
 	n.incarnation = inc
--- a/internal/testkit/fake/node_overload.go
+++ b/internal/testkit/fake/node_overload.go
@@ -10,7 +10,7 @@
 // OverloadSpec describes how overload slows a node. A node is overloaded once its load, the mean number of requests that wait for
 // a slot, wait for a core or use a core, exceeds Cores + Threshold * sqrt(Cores). The node then works slower, and recovers when
 // it has been mostly idle for RecoverAfter, or after MaxDuration at the latest. Each incarnation of a node is overloaded at most
-// once. The tags give the names that the fields have in printed plans.
+// once. The JSON tags give the names that the fields have in printed plans.
 type OverloadSpec struct {
 	Threshold    float64       `json:"At"`     // the node is overloaded once its load exceeds Cores + Threshold * sqrt(Cores)
 	AveragedOver time.Duration `json:"Over"`   // time constant of the load's exponential moving average
@@ -20,8 +20,8 @@
 	MaxDuration  time.Duration `json:"Most"`   // time after which an overloaded node recovers in any case
 }
 
-// ColdOverloadTolerance is the fraction by which the work sent to a warming node may exceed the limit at which it collapses,
-// since requests arrive at random.
+// ColdOverloadTolerance is the fraction by which the work sent to a warming node may exceed ColdOverloadFactor times the node's
+// capacity before the node collapses. It allows for requests that arrive at random.
 const ColdOverloadTolerance = 0.1
 
 const (
@@ -38,12 +38,12 @@
 }
 
 // warmCapacityFraction returns the fraction of its full capacity that a node has at the time sinceStart after its start. The
-// fraction rises linearly from initial to 1 during the warm-up.
-func warmCapacityFraction(initial float64, warmUp, sinceStart time.Duration) float64 {
+// fraction rises linearly from initialFraction to 1 during the warm-up.
+func warmCapacityFraction(initialFraction float64, warmUp, sinceStart time.Duration) float64 {
 	if warmUp <= 0 || sinceStart >= warmUp {
 		return 1
 	}
-	return initial + (1-initial)*float64(sinceStart)/float64(warmUp)
+	return initialFraction + (1-initialFraction)*float64(sinceStart)/float64(warmUp)
 }
 
 // recordColdWork adds the work of an attempt, in seconds, to the recent work of a warming node. The node collapses if the work
@@ -56,9 +56,9 @@
 		return
 	}
 	capacityFraction := warmCapacityFraction(n.ColdCapacityFraction, n.WarmUpDuration, now-inc.startOffset)
-	capacity := capacityFraction * float64(n.Cores) * n.Speed * n.ColdOverloadWindow.Seconds()
+	windowCapacity := capacityFraction * float64(n.Cores) * n.Speed * n.ColdOverloadWindow.Seconds()
 	recentWork := inc.addColdWork(coldWork{now, work}, n.ColdOverloadWindow)
-	if recentWork <= n.ColdOverloadFactor*capacity*(1+ColdOverloadTolerance) {
+	if recentWork <= n.ColdOverloadFactor*windowCapacity*(1+ColdOverloadTolerance) {
 		return
 	}
 	n.mu.Lock()
--- a/internal/testkit/fake/node_overload_test.go
+++ b/internal/testkit/fake/node_overload_test.go
@@ -36,7 +36,9 @@
 		f.recorder.Add(invariant.Event{Kind: invariant.SidecarStarted, Sidecar: "s"})
 		m := Member{ID: "n1", State: StateReady, StartedMs: time.Now().Add(time.Second).UnixMilli()}
 		f.recorder.Add(NotificationEvent("s", m, f.recorder))
-		for range n { // each request has 0.1 s of work; at 0.3 of one core, the node collapses above 1.1 * 4 * 0.3 * 3 s = 3.96 s of work
+		// Each request has 0.1 s of work. The node has one core and 0.3 of its capacity, so it can do 0.3 * 3 s of work within
+		// ColdOverloadWindow. It collapses above (1 + ColdOverloadTolerance) * ColdOverloadFactor times that: 1.1 * 4 * 0.9 s = 3.96 s.
+		for range n {
 			nc, err := net.Dial("tcp", f.Addr)
 			if err != nil {
 				break // the dial failed since the node has collapsed
--- a/internal/testkit/fake/node_test.go
+++ b/internal/testkit/fake/node_test.go
@@ -79,8 +79,8 @@
 	return nc
 }
 
-// readResponse reads a complete response. rejected reports whether the node marked it as a rejection.
-func readResponse(t *testing.T, nc net.Conn) (status int, rejected bool, body string) {
+// readResponse reads a complete response. isRejected reports whether the node marked it as a rejection.
+func readResponse(t *testing.T, nc net.Conn) (status int, isRejected bool, body string) {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
 	if err != nil {
@@ -145,9 +145,9 @@
 		return len(f.incarnation.slots.waiters) == 1
 	})
 	id := f.writeRequest(t, thirdConn, readClass, "", time.Millisecond)
-	if status, rejected, _ := readResponse(t, thirdConn); status != 503 || !rejected || f.countEvents(invariant.AttemptRejected, id) != 1 ||
+	if status, isRejected, _ := readResponse(t, thirdConn); status != 503 || !isRejected || f.countEvents(invariant.AttemptRejected, id) != 1 ||
 		f.countEvents(invariant.EffectStarted, id) != 0 {
-		t.Errorf("third request got status %d, rejected %v, want a rejection with 503 before it starts", status, rejected)
+		t.Errorf("third request got status %d, rejected %v, want a rejection with 503 before it starts", status, isRejected)
 	}
 	for _, nc := range connections {
 		if status, _, _ := readResponse(t, nc); status != 200 {
@@ -158,30 +158,30 @@
 
 func TestDrainingNodeFinishesRequestsAndRejectsNewOnes(t *testing.T) {
 	f := newNodeFixture(t, func(s *NodeSpec) { s.Slots = 5 })
-	first, second := f.dial(t), f.dial(t)
-	id := f.writeRequest(t, first, readClass, "", 50*time.Millisecond)
+	firstConn, secondConn := f.dial(t), f.dial(t)
+	id := f.writeRequest(t, firstConn, readClass, "", 50*time.Millisecond)
 	testpeer.Eventually(t, "the effect started", func() bool { return f.countEvents(invariant.EffectStarted, id) == 1 })
 	f.Drain()
-	f.writeRequest(t, second, readClass, "", time.Millisecond)
-	if status, rejected, _ := readResponse(t, second); status != 503 || !rejected {
-		t.Errorf("new request got status %d, rejected %v, want a rejection with 503", status, rejected)
+	f.writeRequest(t, secondConn, readClass, "", time.Millisecond)
+	if status, isRejected, _ := readResponse(t, secondConn); status != 503 || !isRejected {
+		t.Errorf("new request got status %d, rejected %v, want a rejection with 503", status, isRejected)
 	}
-	if status, _, _ := readResponse(t, first); status != 200 {
+	if status, _, _ := readResponse(t, firstConn); status != 200 {
 		t.Errorf("request in flight got status %d, want 200", status)
 	}
 }
 
 func TestRequestsOnExcessConnectionsAreRejected(t *testing.T) {
 	f := newNodeFixture(t, func(s *NodeSpec) { s.MaxConnections = 1 })
-	first := f.dial(t)
-	f.writeRequest(t, first, readClass, "", time.Millisecond)
-	readResponse(t, first)
-	second := f.dial(t)
-	f.writeRequest(t, second, readClass, "", time.Millisecond)
-	if status, rejected, _ := readResponse(t, second); status != 503 || !rejected {
-		t.Errorf("request on the second connection got status %d, rejected %v, want a rejection with 503", status, rejected)
+	firstConn := f.dial(t)
+	f.writeRequest(t, firstConn, readClass, "", time.Millisecond)
+	readResponse(t, firstConn)
+	secondConn := f.dial(t)
+	f.writeRequest(t, secondConn, readClass, "", time.Millisecond)
+	if status, isRejected, _ := readResponse(t, secondConn); status != 503 || !isRejected {
+		t.Errorf("request on the second connection got status %d, rejected %v, want a rejection with 503", status, isRejected)
 	}
-	if rest, err := io.ReadAll(second); err != nil || len(rest) > 0 {
+	if rest, err := io.ReadAll(secondConn); err != nil || len(rest) > 0 {
 		t.Errorf("read %q and error %v after the rejection, want the end of the connection", rest, err)
 	}
 }
@@ -204,7 +204,7 @@
 func TestDuplicatesWithinTheWindowAreDropped(t *testing.T) {
 	f := newNodeFixture(t, nil)
 	nc := f.dial(t)
-	countStarts := func(id string) (effects, duplicates int) {
+	countEffectStarts := func(id string) (effects, duplicates int) {
 		events, _ := f.recorder.Events()
 		for _, e := range events {
 			if e.Kind == invariant.EffectStarted && e.Request == id && e.IsDuplicate {
@@ -216,14 +216,14 @@
 		return
 	}
 	for i, row := range []struct {
-		class      int
-		key        string
-		duplicates int
+		class          int
+		key            string
+		wantDuplicates int
 	}{{keyedClass, "k", 0}, {keyedClass, "k", 1}, {keyedClass, "l", 0}, {readClass, "k", 0}} {
 		id := f.writeRequest(t, nc, row.class, row.key, time.Millisecond)
 		readResponse(t, nc)
-		if effects, duplicates := countStarts(id); duplicates != row.duplicates || effects != 1-row.duplicates {
-			t.Errorf("request %d: %d effects and %d duplicates, want %d and %d", i, effects, duplicates, 1-row.duplicates, row.duplicates)
+		if effects, duplicates := countEffectStarts(id); duplicates != row.wantDuplicates || effects != 1-row.wantDuplicates {
+			t.Errorf("request %d: %d effects and %d duplicates, want %d and %d", i, effects, duplicates, 1-row.wantDuplicates, row.wantDuplicates)
 		}
 	}
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/testkit/fake/recorder.go
+++ b/internal/testkit/fake/recorder.go
@@ -14,7 +14,7 @@
 
 	mu      sync.Mutex
 	events  []invariant.Event
-	dropped int // number of events that were dropped since the recorder was full or Take had ended the recording
+	dropped int // number of events that were dropped, because the recorder was full or Take had ended the recording
 }
 
 // NewRecorder returns a recorder of a timeline that begins at start. The recorder keeps at most maxEvents events. It drops and
--- a/internal/testkit/fake/registry.go
+++ b/internal/testkit/fake/registry.go
@@ -40,8 +40,8 @@
 }
 
 // Registry maps the ID of every request that clients have sent to its properties. It keeps requests until the end of the
-// simulation, since an attempt may reach a node long after its request ended; the schedule of requests bounds their number.
-// It is safe for concurrent use, and its zero value is empty.
+// simulation, since an attempt may reach a node long after its request ended; the schedule of the simulation bounds the number of
+// requests. Registry is safe for concurrent use, and its zero value is empty.
 type Registry struct{ requests sync.Map }
 
 func (r *Registry) register(id string, request registeredRequest) { r.requests.Store(id, request) }
--- a/internal/testkit/fake/semaphore.go
+++ b/internal/testkit/fake/semaphore.go
@@ -9,17 +9,17 @@
 // is bounded.
 type semaphore struct {
 	mu         sync.Mutex
-	free       int             // number of free slots
+	freeSlots  int             // number of free slots
 	maxWaiting int             // largest number of goroutines that may wait for a slot
-	waiters    []chan struct{} // one channel for each waiting goroutine, in the order of their calls; closed to grant a slot
+	waiters    []chan struct{} // one channel for each waiting goroutine, in the order in which the goroutines called acquire; closed to grant a slot
 }
 
 // acquire waits for a slot and reports whether it got one. It returns false at once if maxWaiting goroutines wait already,
 // and when done closes before a slot is granted.
 func (s *semaphore) acquire(done <-chan struct{}) bool {
 	s.mu.Lock()
-	if s.free > 0 {
-		s.free--
+	if s.freeSlots > 0 {
+		s.freeSlots--
 		s.mu.Unlock()
 		return true
 	}
@@ -47,7 +47,7 @@
 		s.waiters = s.waiters[1:]
 		return
 	}
-	s.free++
+	s.freeSlots++
 }
 
 // sleep waits for d. It reports false if done is closed first.
--- a/internal/testkit/fake/semaphore_test.go
+++ b/internal/testkit/fake/semaphore_test.go
@@ -12,13 +12,13 @@
 		free := rapid.IntRange(1, 4).Draw(t, "free")
 		maxWaiting := rapid.IntRange(0, 4).Draw(t, "maxWaiting")
 		n := rapid.IntRange(1, 12).Draw(t, "n")
-		s := &semaphore{free: free, maxWaiting: maxWaiting}
+		s := &semaphore{freeSlots: free, maxWaiting: maxWaiting}
 		granted := make(chan int, n)
 		var acquisitions sync.WaitGroup
 		rejected := 0
 		for i := range n {
 			s.mu.Lock()
-			mustWait := s.free == 0
+			mustWait := s.freeSlots == 0
 			canWait := len(s.waiters) < s.maxWaiting
 			waitersBefore := len(s.waiters)
 			s.mu.Unlock()
--- a/internal/testkit/invariant/checker.go
+++ b/internal/testkit/invariant/checker.go
@@ -32,7 +32,7 @@
 	MaxAttempts           int           // largest number of attempts allowed for a request; 0: unlimited
 	Tolerance             time.Duration // time by which an event may exceed each time limit, since events are observed late
 	DrainGrace            time.Duration // time after the notification that a node is draining or gone in which attempts may still go to the node
-	ColdOverloadFactor    float64       // multiple of its present capacity at which a warming node is overloaded
+	ColdOverloadFactor    float64       // multiple of a warming node's present capacity above which the work sent to the node overloads it
 	ColdOverloadWindow    time.Duration // length of the window over which the work sent to a warming node is summed
 	ColdOverloadTolerance float64       // fraction by which work may exceed the limit that ColdOverloadFactor sets, since requests arrive at random
 	SigtermGrace          time.Duration // time after SIGTERM in which a sidecar must still answer each request that it accepts
@@ -92,7 +92,7 @@
 		c.applyRequestSent(e)
 	case RequestNotWritten:
 		c.applyRequestNotWritten(e)
-	case ResponseReceived, ExtraBytes, ConnectionLost, ResponseOverdue, ClientLeft:
+	case ResponseReceived, ExtraBytes, ConnectionLost, ResponseOverdue, ClientDisconnected:
 		c.applyRequestEnd(e)
 	case AttemptReceived:
 		c.applyAttemptReceived(e)
@@ -109,7 +109,7 @@
 	case NodeCollapsed:
 		c.applyNodeCollapsed(e)
 	case SidecarStarted, SigtermSent, SidecarKilled, SidecarPaused, SidecarResumed, SidecarExited:
-		c.applySidecarProcess(e)
+		c.applyProcessEvent(e)
 	}
 }
 
@@ -161,17 +161,18 @@
 	}
 }
 
-// countOccasion adds 1 to the count of the named occasion in a rule's result. The occasion does not count as a test of the rule.
+// countOccasion adds 1 to a rule's count of the named occasion, a situation that the rule's result reports. It does not count the
+// occasion as a test of the rule.
 func (c *checker) countOccasion(rule int, name string) { c.report.Rules[rule-1].Occasions[name]++ }
 
-// countTestedOccasion adds 1 to the count of the named occasion in a rule's result, and to that of the occasions on which a
-// sidecar could have broken the rule.
-func (c *checker) countTestedOccasion(rule int, name string) {
+// countOccasionAsTest adds 1 to a rule's count of the named occasion, and counts the occasion as a test of the rule: a situation in
+// which a sidecar could have broken the rule.
+func (c *checker) countOccasionAsTest(rule int, name string) {
 	c.countOccasion(rule, name)
 	c.report.Rules[rule-1].TestedOccasions++
 }
 
-// request returns the state of a request, which it creates at the first call for an ID.
+// request returns the state of a request. At the first call for an ID, it creates an empty state.
 func (c *checker) request(id string) *requestState {
 	request := c.requests[id]
 	if request == nil {
@@ -182,7 +183,7 @@
 	return request
 }
 
-// node returns the state of a node, which it creates at the first call for an ID.
+// node returns the state of a node. At the first call for an ID, it creates an empty state.
 func (c *checker) node(id string) *nodeState {
 	node := c.nodes[id]
 	if node == nil {
@@ -192,7 +193,7 @@
 	return node
 }
 
-// sidecar returns the state of a sidecar's process, which it creates at the first call for a name.
+// sidecar returns what is known of a sidecar's current process. At the first call for a name, it creates an empty state.
 func (c *checker) sidecar(id string) *sidecarState {
 	sidecar := c.sidecars[id]
 	if sidecar == nil {
--- a/internal/testkit/invariant/checker_test.go
+++ b/internal/testkit/invariant/checker_test.go
@@ -13,7 +13,7 @@
 // TestEachRuleIsBrokenAndHeldByItsTimelines checks that Check finds each rule broken by some of the rule's timelines and held by
 // others, and that no timeline breaks another rule than its own.
 func TestEachRuleIsBrokenAndHeldByItsTimelines(t *testing.T) {
-	brokenCount, heldCount := map[int]int{}, map[int]int{} // numbers of timelines by rule
+	brokenCount, heldCount := map[int]int{}, map[int]int{} // by rule number: how many timelines must break the rule, and how many must hold it
 	for _, c := range timelineCases {
 		t.Run(c.name, func(t *testing.T) {
 			report := Check(rules, slices.Clone(c.events))
@@ -129,8 +129,8 @@
 	return true
 }
 
-// TestArbitraryTimelineNeverHoldsAnUntestedRule checks that Check does not panic on any timeline, and that no rule is held
-// unless an event could have broken it.
+// TestArbitraryTimelineNeverHoldsAnUntestedRule checks that Check does not panic on any timeline, and that it
+// reports no rule as held that no event could have broken.
 func TestArbitraryTimelineNeverHoldsAnUntestedRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nameGenerator := rapid.SampledFrom([]string{"", "a", "b", "s"})
--- a/internal/testkit/invariant/cold_overload.go
+++ b/internal/testkit/invariant/cold_overload.go
@@ -30,16 +30,16 @@
 	isInformed bool          // whether the sidecar that sent the attempt had been notified of the node's start
 }
 
-// coldBudget returns the work, in seconds, that may be sent to a warming node within the window that ends at the instant at:
+// coldWorkBudget returns the work, in seconds, that may be sent to a warming node within the window that ends at the instant at:
 // the work that the node could do during the window at its present capacity, times ColdOverloadFactor. startEvent is the node's
 // NodeStarted event.
-func coldBudget(rules Rules, startEvent Event, at time.Duration) float64 {
+func coldWorkBudget(rules Rules, startEvent Event, at time.Duration) float64 {
 	warmUpFraction := min(float64(at-startEvent.At)/float64(max(startEvent.WarmUpDuration, 1)), 1)
 	capacityFraction := startEvent.ColdCapacityFraction + (1-startEvent.ColdCapacityFraction)*warmUpFraction
 	return rules.ColdOverloadFactor * capacityFraction * startEvent.Capacity * rules.ColdOverloadWindow.Seconds()
 }
 
-// checkColdOverload checks that the work sent to a warming node is within coldBudget, for the window that ends with the
+// checkColdOverload checks that the work sent to a warming node is within coldWorkBudget, for the window that ends with the
 // attempt e, which process has sent. Attempts that the node rejects count too.
 func (c *checker) checkColdOverload(process *sidecarState, e *Event) {
 	node := c.node(e.Node)
@@ -52,39 +52,39 @@
 	}
 	if !node.receivedWhileCold {
 		node.receivedWhileCold = true
-		c.countTestedOccasion(ruleNoColdOverload, "cold starts with work sent")
+		c.countOccasionAsTest(ruleNoColdOverload, "cold starts with work sent")
 	}
 	isInformed := process.knownStarts[e.Node] >= node.startEvent.At-startRounding
 	node.recentAttempts = slices.DeleteFunc(append(node.recentAttempts, coldAttempt{e.At, e.Work, isInformed}),
 		func(s coldAttempt) bool { return s.at <= e.At-c.rules.ColdOverloadWindow })
-	sum, _ := node.recentWork()
-	limit := coldBudget(c.rules, node.startEvent, e.At) * (1 + c.rules.ColdOverloadTolerance)
-	if sum <= limit || node.wasOverloaded {
+	totalWork, _ := node.recentWork()
+	workLimit := coldWorkBudget(c.rules, node.startEvent, e.At) * (1 + c.rules.ColdOverloadTolerance)
+	if totalWork <= workLimit || node.wasOverloaded {
 		return
 	}
 	node.wasOverloaded = true
 	if c.causedByInformedSidecars(node) {
 		c.addViolation(ruleNoColdOverload, e, "sent %.2f s of work within %v, %.2f s is the most for a node that started %v ago",
-			sum, c.rules.ColdOverloadWindow, limit, (e.At - node.startEvent.At).Round(time.Millisecond))
+			totalWork, c.rules.ColdOverloadWindow, workLimit, (e.At - node.startEvent.At).Round(time.Millisecond))
 	}
 }
 
 // recentWork returns the work of the recent attempts, in seconds, and the part of it that came from sidecars that were
 // notified of the node's start.
-func (n *nodeState) recentWork() (sum, informedWork float64) {
+func (n *nodeState) recentWork() (totalWork, informedWork float64) {
 	for _, s := range n.recentAttempts {
-		sum += s.work
+		totalWork += s.work
 		if s.isInformed {
 			informedWork += s.work
 		}
 	}
-	return sum, informedWork
+	return totalWork, informedWork
 }
 
 // causedByInformedSidecars reports whether enough of the work on an overloaded warming node came from sidecars that were notified
 // of the node's start. If not, it counts the overload as an occasion that does not break the rule.
 func (c *checker) causedByInformedSidecars(node *nodeState) bool {
-	if sum, informedWork := node.recentWork(); informedWork < minInformedFraction*sum {
+	if totalWork, informedWork := node.recentWork(); informedWork < minInformedFraction*totalWork {
 		c.countOccasion(ruleNoColdOverload, "pushed by sidecars not yet told of the start")
 		return false
 	}
--- a/internal/testkit/invariant/double_effect.go
+++ b/internal/testkit/invariant/double_effect.go
@@ -8,7 +8,7 @@
 	if len(request.attempts) == 0 {
 		return
 	}
-	c.countTestedOccasion(ruleNoDoubleEffect, "attempts after the first")
+	c.countOccasionAsTest(ruleNoDoubleEffect, "attempts after the first")
 	if n := len(request.attempts) + 1; c.rules.MaxAttempts > 0 && n > c.rules.MaxAttempts {
 		c.addViolation(ruleNoDoubleEffect, e, "attempt %d, at most %d are allowed", n, c.rules.MaxAttempts)
 	}
--- a/internal/testkit/invariant/drain.go
+++ b/internal/testkit/invariant/drain.go
@@ -20,7 +20,7 @@
 	}
 	if sidecar.notifications[e.Node] == nil {
 		sidecar.notifications[e.Node] = &notification{at: e.At, state: e.State}
-		c.countOccasion(ruleNoDrainedTarget, map[State]string{Draining: "drains told", Gone: "ends told"}[e.State])
+		c.countOccasion(ruleNoDrainingTarget, map[State]string{Draining: "drains told", Gone: "ends told"}[e.State])
 	}
 }
 
@@ -35,10 +35,10 @@
 		}
 		if !n.isTested {
 			n.isTested = true
-			c.countTestedOccasion(ruleNoDrainedTarget, "notices followed by traffic")
+			c.countOccasionAsTest(ruleNoDrainingTarget, "notices followed by traffic")
 		}
 		if node == e.Node {
-			c.addViolation(ruleNoDrainedTarget, e, "sent %v after the sidecar was told that the node %s",
+			c.addViolation(ruleNoDrainingTarget, e, "sent %v after the sidecar was told that the node %s",
 				(e.FirstByteAt - n.at).Round(time.Millisecond), map[State]string{Draining: "drains", Gone: "is gone"}[n.state])
 		}
 	}
--- a/internal/testkit/invariant/event.go
+++ b/internal/testkit/invariant/event.go
@@ -8,35 +8,35 @@
 // The kinds of events. Each comment names the fields of Event that are set beside At and, for events of a request, Request.
 // A request is identified by its ID, which is new for each retry by a client and for each call of a node to the next tier.
 const (
-	RequestSent       Kind = iota // a client writes a request to Sidecar; Class and Deadline are set
-	ResponseReceived              // the client has received a complete response; Status and IsGenuine are set
-	ExtraBytes                    // the client received further bytes on its connection after the complete response
-	ConnectionLost                // the client's connection ended before a complete response
-	ResponseOverdue               // the client gave up some time after the deadline without having received any byte
-	ClientLeft                    // the client closed its connection before it received a response
-	RequestNotWritten             // the client could not write the request completely, so no response is owed
-	AttemptReceived               // Node received the last byte of an attempt; FirstByteAt, Work and Cell are set
-	AttemptRejected               // Node rejected an attempt, which never takes effect
-	EffectStarted                 // Node begins to execute an attempt, or drops it as a duplicate if Duplicate is set
-	AttemptCompleted              // Node is about to write the response to an attempt
-	AttemptAborted                // the sidecar closed the connection of an attempt that Node had not answered
-	NodeStateNotified             // discovery notified Sidecar that Node is in State; StartedAt is set if known
-	NodeStarted                   // Node started; Capacity is set, and ColdCapacityFraction and WarmUpDuration if it warms up
-	NodeStopped                   // Node's process died; its requests in flight ended and its connections were reset
-	NodeCollapsed                 // Node collapsed under overload while it was warming up
-	SidecarStarted                // a new process of Sidecar started; no notification to an earlier process counts for the new one
-	SigtermSent                   // Sidecar's process was sent SIGTERM
-	SidecarKilled                 // Sidecar's process was sent SIGKILL
-	SidecarExited                 // Sidecar's process ended; HasCrashed is set if the harness had sent no signal that ends it
-	SidecarPaused                 // Sidecar's process was suspended by SIGSTOP
-	SidecarResumed                // Sidecar's process runs again after a pause of Duration
-	HarnessStall                  // the test harness itself was not scheduled for Duration, until the instant of the event
+	RequestSent        Kind = iota // a client writes a request to Sidecar; Class and Deadline are set
+	ResponseReceived               // the client has received a complete response; Status and IsGenuine are set
+	ExtraBytes                     // the client received further bytes on its connection after the complete response
+	ConnectionLost                 // the client's connection ended before a complete response
+	ResponseOverdue                // the client gave up some time after the deadline without having received any byte
+	ClientDisconnected             // the client closed its connection before it received a response
+	RequestNotWritten              // the client could not write the request completely, so no response is owed
+	AttemptReceived                // Node received the last byte of an attempt; FirstByteAt, Work and Cell are set
+	AttemptRejected                // Node rejected an attempt, which never takes effect
+	EffectStarted                  // Node begins to execute an attempt, or drops it as a duplicate if IsDuplicate is set
+	AttemptCompleted               // Node is about to write the response to an attempt
+	AttemptAborted                 // the sidecar closed the connection of an attempt that Node had not answered
+	NodeStateNotified              // discovery notified Sidecar that Node is in State; StartedAt is set if known
+	NodeStarted                    // Node started; Capacity is set, and ColdCapacityFraction and WarmUpDuration if it warms up
+	NodeStopped                    // Node's process died; its requests in flight ended and its connections were reset
+	NodeCollapsed                  // Node collapsed under overload while it was warming up
+	SidecarStarted                 // a new process of Sidecar started; no notification to an earlier process counts for the new one
+	SigtermSent                    // Sidecar's process was sent SIGTERM
+	SidecarKilled                  // Sidecar's process was sent SIGKILL
+	SidecarExited                  // Sidecar's process ended; HasCrashed is set if the harness had sent no signal that ends it
+	SidecarPaused                  // Sidecar's process was suspended by SIGSTOP
+	SidecarResumed                 // Sidecar's process runs again after a pause of Duration
+	HarnessStall                   // the test harness itself was not scheduled for Duration, until the instant of the event
 )
 
 // State is a node's state as discovery announces it.
 type State uint8
 
-// The states of a node.
+// The states of a node that discovery announces.
 const (
 	Ready State = iota
 	Draining
--- a/internal/testkit/invariant/final_response.go
+++ b/internal/testkit/invariant/final_response.go
@@ -6,15 +6,17 @@
 	"time"
 )
 
-// The names of the occasions that are counted in more than one place. Result files contain these names, so they must not change.
+// The names of the occasions that the code counts at more than one place. An occasion is a situation that the result of a rule counts,
+// such as a request that was accepted. Result files contain these names, so they must not change.
 const (
 	occasionAccepted        = "requests taken"
 	occasionLostWithSidecar = "went under with a sidecar that was ended"
 	occasionDelayedByPause  = "held up by a sidecar that was stopped"
 )
 
-// applyRequestSent records a request. A client sends the same request a second time if its reused connection ended before a
-// response. A sidecar may close a connection between two requests, but not after it has sent an attempt at the request.
+// applyRequestSent records that a client sent a request. The client sends the request a second time if a reused connection ended
+// before a response. A sidecar may close a connection between two requests, so that is a violation only if the sidecar had sent an
+// attempt at the request already, and the request is not one that may be lost.
 func (c *checker) applyRequestSent(e *Event) {
 	request := c.request(e.Request)
 	if request.wasSent {
@@ -23,7 +25,7 @@
 		}
 		request.attempts = nil // attempts at nodes before the client sent the request again no longer count
 	} else {
-		c.countTestedOccasion(ruleFinalResponse, occasionAccepted)
+		c.countOccasionAsTest(ruleFinalResponse, occasionAccepted)
 	}
 	request.sentEvent, request.wasSent, request.process = *e, true, c.sidecar(e.Sidecar)
 }
@@ -69,7 +71,7 @@
 			c.addViolation(ruleFinalResponse, e, "no answer %v after its time was up",
 				(e.At - request.sentEvent.Deadline).Round(time.Millisecond))
 		}
-	case ClientLeft:
+	case ClientDisconnected:
 		c.countOccasion(ruleFinalResponse, "callers that left")
 	}
 	if !request.hasEnded {
@@ -95,7 +97,7 @@
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		c.countOccasion(ruleFinalResponse, "refused")
 		if len(request.attempts) > 0 {
-			c.countTestedOccasion(ruleNoDoubleEffect, "refusals after an attempt")
+			c.countOccasionAsTest(ruleNoDoubleEffect, "refusals after an attempt")
 		}
 		if c.class(request).Effect != Safe && slices.ContainsFunc(request.attempts, (*attemptState).mayHaveRun) {
 			c.addViolation(ruleNoDoubleEffect, e, "refused (%d), though an attempt may have run", e.Status)
--- a/internal/testkit/invariant/process.go
+++ b/internal/testkit/invariant/process.go
@@ -18,9 +18,9 @@
 	return &sidecarState{notifications: map[string]*notification{}, knownStarts: map[string]time.Duration{}}
 }
 
-// applySidecarProcess records a change of a sidecar's process. A crash breaks rule 1, that every accepted request gets a
+// applyProcessEvent records a change of a sidecar's process. A crash breaks rule 1, that every accepted request gets a
 // final response.
-func (c *checker) applySidecarProcess(e *Event) {
+func (c *checker) applyProcessEvent(e *Event) {
 	switch e.Kind {
 	case SidecarStarted:
 		c.sidecars[e.Sidecar] = newSidecarState()
--- a/internal/testkit/invariant/report.go
+++ b/internal/testkit/invariant/report.go
@@ -18,7 +18,7 @@
 // Violation is one violation of a rule, with the request, sidecar and node that it concerns.
 type Violation struct {
 	Rule        int           `json:"rule"`  // number of the rule, from 1
-	At          time.Duration `json:"at_ns"` // instant since the start of the day
+	At          time.Duration `json:"at_ns"` // instant of the violation, as time since the start of the day in nanoseconds
 	Request     string        `json:"request,omitempty"`
 	Sidecar     string        `json:"sidecar,omitempty"`
 	Node        string        `json:"node,omitempty"`
@@ -42,10 +42,10 @@
 
 // The numbers of the rules, from 1, by which reports and result files refer to them.
 const (
-	ruleFinalResponse   = 1 // every accepted request gets exactly one final response before its deadline
-	ruleNoDoubleEffect  = 2 // no request takes effect twice
-	ruleNoDrainedTarget = 3 // no new attempt goes to a draining or gone node
-	ruleNoColdOverload  = 4 // a node that is warming up is not overloaded
+	ruleFinalResponse    = 1 // every accepted request gets exactly one final response before its deadline
+	ruleNoDoubleEffect   = 2 // no request takes effect twice
+	ruleNoDrainingTarget = 3 // no new attempt goes to a draining or gone node
+	ruleNoColdOverload   = 4 // a node that is warming up is not overloaded
 )
 
 // ruleNames holds the names of the rules in reports. Result files contain them, so they must not change.
--- a/internal/testkit/invariant/timeline_test.go
+++ b/internal/testkit/invariant/timeline_test.go
@@ -111,7 +111,7 @@
 	{"connection closed between requests", 1, "",
 		newTimeline().request(s, "r", readClass).request(s+2*ms, "r", readClass).attempt(s+3*ms, "r", "a", 1).
 			end(s+9*ms, AttemptCompleted, "r", "a").respond(2*s, "r", 200)},
-	{"client left", 1, "", newTimeline().request(s, "r", readClass).end(2*s, ClientLeft, "r", "")},
+	{"client left", 1, "", newTimeline().request(s, "r", readClass).end(2*s, ClientDisconnected, "r", "")},
 
 	{"two attempts in flight together", 2, "was out",
 		newTimeline().request(s, "r", readClass).attempt(s+ms, "r", "a", 1).attempt(s+10*ms, "r", "b", 1).
@@ -164,11 +164,11 @@
 		return l
 	}()},
 	{"attempt after the end of the request", 2, "after its end",
-		newTimeline().request(s, "r", readClass).end(2*s, ClientLeft, "r", "").attempt(2*s+100*ms, "r", "a", 1)},
+		newTimeline().request(s, "r", readClass).end(2*s, ClientDisconnected, "r", "").attempt(2*s+100*ms, "r", "a", 1)},
 	{"attempt sent while the client disconnects", 2, "",
 		newTimeline().request(s, "q", readClass).attempt(s+ms, "q", "a", 1).end(s+2*ms, AttemptRejected, "q", "a").
 			attempt(s+3*ms, "q", "a", 1).end(s+4*ms, AttemptCompleted, "q", "a").respond(s+5*ms, "q", 200).
-			request(s, "r", readClass).end(2*s, ClientLeft, "r", "").attempt(2*s+51*ms, "r", "a", 1)},
+			request(s, "r", readClass).end(2*s, ClientDisconnected, "r", "").attempt(2*s+51*ms, "r", "a", 1)},
 	{"attempt without a request", 2, "nobody had asked", newTimeline().attempt(s, "ghost", "a", 1)},
 
 	{"attempt at a draining node", 3, "node drains",
@@ -205,8 +205,8 @@
 }
 
 // coldStart returns a timeline in which a node with a capacity of 1 starts at 1 s with 0.3 of it, and receives n attempts of
-// 0.12 s of work each from 2 s on. At 2 s the node has 0.37 of its capacity, so the limit is 1.1 * 4 * 0.37 * 3 s = 4.88 s of
-// work.
+// 0.12 s of work each from 2 s on. At 2 s the node has 0.37 of its capacity, so it can do 0.37 * 3 s of work within
+// ColdOverloadWindow. It is overloaded above (1 + ColdOverloadTolerance) * ColdOverloadFactor times that: 1.1 * 4 * 1.11 s = 4.88 s.
 func coldStart(n int) timeline {
 	l := timeline{{At: s, Kind: NodeStarted, Node: "a", Capacity: 1, ColdCapacityFraction: 0.3, WarmUpDuration: 10 * s},
 		{At: s + ms, Kind: NodeStateNotified, Sidecar: "s", Node: "a", State: Ready, StartedAt: s}}
--- a/internal/testkit/loadgen/http.go
+++ b/internal/testkit/loadgen/http.go
@@ -24,10 +24,10 @@
 	transport  *http.Transport
 }
 
-// NewHTTP returns a sender that keeps up to maxIdle idle connections open. newRequest makes request number n, counted from 0.
+// NewHTTP returns a sender that keeps up to maxIdleConnections idle connections open. newRequest makes request number n, counted from 0.
 // dial opens connections; if it is nil, they are opened over the network of the operating system.
-func NewHTTP(newRequest func(n int64) *http.Request, maxIdle int, dial func(ctx context.Context, network, addr string) (net.Conn, error)) *HTTPSender {
-	return &HTTPSender{newRequest: newRequest, transport: &http.Transport{DialContext: dial, MaxIdleConns: maxIdle, MaxIdleConnsPerHost: maxIdle,
+func NewHTTP(newRequest func(n int64) *http.Request, maxIdleConnections int, dial func(ctx context.Context, network, addr string) (net.Conn, error)) *HTTPSender {
+	return &HTTPSender{newRequest: newRequest, transport: &http.Transport{DialContext: dial, MaxIdleConns: maxIdleConnections, MaxIdleConnsPerHost: maxIdleConnections,
 		IdleConnTimeout: time.Minute, DisableCompression: true, MaxResponseHeaderBytes: 1 << 20}}
 }
 
@@ -56,24 +56,24 @@
 	}, nil
 }
 
-// Send implements Sender. WrittenAt of its responses is the instant at which the request's header was written to the connection.
+// Send implements Sender. WrittenAt of the returned response is the instant at which the request's header was written to the connection.
 func (h *HTTPSender) Send(ctx context.Context, n int64) (response Response) {
 	// The variables that the trace's functions set are atomic, since the transport calls these functions on its own goroutines,
 	// possibly after the round trip has returned.
 	var connections atomic.Int32 // number of connections used for the request; more than one if the transport sent the request again
-	var headerWritten atomic.Pointer[time.Time]
+	var headerWrittenAt atomic.Pointer[time.Time]
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connections.Add(1) },
 		WroteHeaders: func() {
 			now := time.Now()
-			headerWritten.CompareAndSwap(nil, &now)
+			headerWrittenAt.CompareAndSwap(nil, &now)
 		},
 	})
 	status, err := h.roundTrip(h.newRequest(n).WithContext(ctx))
-	if instant := headerWritten.Load(); instant != nil {
+	if instant := headerWrittenAt.Load(); instant != nil {
 		response.WrittenAt = *instant
 	}
-	response.Status, response.Resent = status, connections.Load() > 1
+	response.Status, response.WasResent = status, connections.Load() > 1
 	if err != nil {
 		response.Status, response.Failure = 0, classifyFailure(ctx, err, int(connections.Load()))
 	}
--- a/internal/testkit/loadgen/report.go
+++ b/internal/testkit/loadgen/report.go
@@ -13,17 +13,17 @@
 	"tuliprock/internal/testkit/schedule"
 )
 
-// Format is the version of the JSON format that Write writes and Read reads.
-const Format = 1
+// FormatVersion is the version of the JSON format that Write writes and Read reads.
+const FormatVersion = 1
 
 // resultFile is the JSON form of a Result. It holds complete histograms, so that results can be merged without loss of precision.
 type resultFile struct {
 	Format           int                                   `json:"format"`
 	Kind             string                                `json:"kind"` // always "load", which tells a load test's file from other results
 	Runs             int                                   `json:"runs"`
-	Valid            bool                                  `json:"valid"`
-	Invalid          string                                `json:"invalid,omitempty"` // Result.Invalid: the reason why the measurements are not valid; absent if they are
-	Interrupted      bool                                  `json:"interrupted"`
+	IsValid          bool                                  `json:"valid"`
+	InvalidReason    string                                `json:"invalid,omitempty"` // Result.Invalid: the reason why the measurements are not valid; absent if they are
+	WasInterrupted   bool                                  `json:"interrupted"`
 	SendSeconds      float64                               `json:"sent_s"` // Result.SendDuration in seconds
 	Scheduled        int64                                 `json:"due"`
 	NotSent          int64                                 `json:"not_sent"`
@@ -62,7 +62,7 @@
 
 // Write writes the result as a JSON object, which Read decodes. Options are not written.
 func (r *Result) Write(w io.Writer) error {
-	f := resultFile{Format: Format, Kind: "load", Runs: r.Runs, Valid: r.Invalid == "", Invalid: r.Invalid, Interrupted: r.Interrupted,
+	f := resultFile{Format: FormatVersion, Kind: "load", Runs: r.Runs, IsValid: r.Invalid == "", InvalidReason: r.Invalid, WasInterrupted: r.Interrupted,
 		SendSeconds: r.SendDuration.Seconds(), Scheduled: r.Scheduled, NotSent: r.NotSent, Resent: r.Resent, CountByOutcome: r.CountByOutcome(),
 		LatencyByOutcome: r.LatencyByOutcome, Latency: r.Latency, ServiceTime: r.ServiceTime, SendLateness: r.SendLateness,
 		Percentiles: map[string]map[string]string{"all": formatPercentiles(r.Latency), "service": formatPercentiles(r.ServiceTime),
@@ -79,11 +79,11 @@
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, err
 	}
-	if f.Format != Format || f.Kind != "load" {
-		return nil, fmt.Errorf("the file has format %d and kind %q, want format %d and kind \"load\"", f.Format, f.Kind, Format)
+	if f.Format != FormatVersion || f.Kind != "load" {
+		return nil, fmt.Errorf("the file has format %d and kind %q, want format %d and kind \"load\"", f.Format, f.Kind, FormatVersion)
 	}
 	r := newResult(Options{})
-	r.Runs, r.Invalid, r.Interrupted, r.SendDuration = f.Runs, f.Invalid, f.Interrupted, time.Duration(f.SendSeconds*float64(time.Second))
+	r.Runs, r.Invalid, r.Interrupted, r.SendDuration = f.Runs, f.InvalidReason, f.WasInterrupted, time.Duration(f.SendSeconds*float64(time.Second))
 	r.Scheduled, r.NotSent, r.Resent = f.Scheduled, f.NotSent, f.Resent
 	for _, l := range []*schedule.LatencyHistogram{f.Latency, f.ServiceTime, f.SendLateness} {
 		if l == nil {
--- a/internal/testkit/loadgen/report_test.go
+++ b/internal/testkit/loadgen/report_test.go
@@ -14,9 +14,9 @@
 // change it.
 func TestMergeEqualsASingleRun(t *testing.T) {
 	type request struct {
-		due            int  // milliseconds from the start of the run to the instant at which the request is due
-		duration       int  // milliseconds from the write of the request to its end
-		lateness       int  // milliseconds from the instant at which the request is due to its write
+		dueMs          int  // milliseconds from the start of the run to the instant at which the request is due
+		durationMs     int  // milliseconds from the write of the request to its end
+		latenessMs     int  // milliseconds from the instant at which the request is due to its write
 		status         int  // HTTP status; 0: the request failed
 		isInSecondPart bool // whether the request is counted in the second of the two merged results
 	}
@@ -28,9 +28,9 @@
 		single, parts := newResult(Options{}), [2]*Result{newResult(Options{}), newResult(Options{})}
 		start := time.Now()
 		for _, q := range requests {
-			instant := time.Duration(q.due) * time.Millisecond
+			instant := time.Duration(q.dueMs) * time.Millisecond
 			due := start.Add(instant)
-			response := Response{Status: q.status, WrittenAt: due.Add(time.Duration(q.lateness) * time.Millisecond)}
+			response := Response{Status: q.status, WrittenAt: due.Add(time.Duration(q.latenessMs) * time.Millisecond)}
 			if q.status == 0 {
 				response.Failure = FailureBrokenOff
 			}
@@ -39,7 +39,7 @@
 				part = parts[1]
 			}
 			for _, r := range []*Result{single, part} {
-				r.record(instant, due, due.Add(time.Duration(q.duration+q.lateness)*time.Millisecond), response)
+				r.record(instant, due, due.Add(time.Duration(q.durationMs+q.latenessMs)*time.Millisecond), response)
 			}
 		}
 		for i, r := range parts {
@@ -74,17 +74,17 @@
 }
 
 func TestReadRejectsInvalidFiles(t *testing.T) {
-	var valid bytes.Buffer
-	if err := newResult(Options{}).Write(&valid); err != nil {
+	var validFile bytes.Buffer
+	if err := newResult(Options{}).Write(&validFile); err != nil {
 		t.Fatal(err)
 	}
 	for name, text := range map[string]string{
 		"empty":                     "",
-		"unknown kind":              strings.Replace(valid.String(), `"load"`, `"rehearsal"`, 1),
-		"unknown format version":    strings.Replace(valid.String(), `"format":1`, `"format":2`, 1),
-		"missing histogram":         strings.Replace(valid.String(), `"own":"`, `"other":"`, 1),
-		"corrupted histogram":       strings.Replace(valid.String(), `"own":"`, `"own":"AAAA`, 1),
-		"text in place of a number": strings.Replace(valid.String(), `"due":0`, `"due":"x"`, 1),
+		"unknown kind":              strings.Replace(validFile.String(), `"load"`, `"rehearsal"`, 1),
+		"unknown format version":    strings.Replace(validFile.String(), `"format":1`, `"format":2`, 1),
+		"missing histogram":         strings.Replace(validFile.String(), `"own":"`, `"other":"`, 1),
+		"corrupted histogram":       strings.Replace(validFile.String(), `"own":"`, `"own":"AAAA`, 1),
+		"text in place of a number": strings.Replace(validFile.String(), `"due":0`, `"due":"x"`, 1),
 	} {
 		if _, err := Read([]byte(text)); err == nil {
 			t.Errorf("%s: Read succeeded, want an error", name)
@@ -93,11 +93,11 @@
 }
 
 func FuzzRead(f *testing.F) {
-	var valid bytes.Buffer
-	if err := newResult(Options{}).Write(&valid); err != nil {
+	var validFile bytes.Buffer
+	if err := newResult(Options{}).Write(&validFile); err != nil {
 		f.Fatal(err)
 	}
-	f.Add(valid.Bytes())
+	f.Add(validFile.Bytes())
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if r, err := Read(text); err == nil {
 			r.Merge(r)
--- a/internal/testkit/loadgen/result.go
+++ b/internal/testkit/loadgen/result.go
@@ -77,7 +77,7 @@
 	if !response.WrittenAt.IsZero() {
 		r.SendLateness.Record(response.WrittenAt.Sub(due))
 	}
-	if response.Resent {
+	if response.WasResent {
 		r.Resent++
 	}
 	outcome := response.Failure
--- a/internal/testkit/loadgen/run.go
+++ b/internal/testkit/loadgen/run.go
@@ -25,7 +25,7 @@
 	WrittenAt time.Time // instant at which the request was written to a connection; zero if the request was not written
 	Status    int       // HTTP status of the complete response; 0 if there is none
 	Failure   string    // one of the Failure constants if there is no complete response, else empty
-	Resent    bool      // whether the transport sent the request again, since a reused connection had been closed
+	WasResent bool      // whether the transport sent the request again, since a reused connection had been closed
 }
 
 // Reasons why a request got no complete response. They are keys of Result.LatencyByOutcome.
--- a/internal/testkit/loadgen/run_test.go
+++ b/internal/testkit/loadgen/run_test.go
@@ -62,9 +62,9 @@
 
 // serverDelays are the processing times of a simulated server, which stalls at the end of every stallPeriod if stallPeriod is not 0.
 type serverDelays struct {
-	processing  func(n int64) time.Duration // returns the processing time of request n, without the wait for the end of a stall
-	stallPeriod time.Duration               // time from the end of one stall to the end of the next
-	stallLength time.Duration               // length of each stall; requests that arrive during a stall are processed from its end on
+	processingTime func(n int64) time.Duration // returns the processing time of request n, without the wait for the end of a stall
+	stallPeriod    time.Duration               // time from the end of one stall to the end of the next
+	stallLength    time.Duration               // length of each stall; requests that arrive during a stall are processed from its end on
 }
 
 // delayOf returns the time from the arrival of request n, at an instant of the run, to its response.
@@ -74,7 +74,7 @@
 			delay = d.stallPeriod - offset
 		}
 	}
-	return delay + d.processing(n)
+	return delay + d.processingTime(n)
 }
 
 // randomFraction returns a pseudo-random number from 0 to 1 that depends on the request's number alone.
@@ -144,17 +144,17 @@
 // server's stalls, which a closed loop mostly misses.
 func TestLatencyMatchesServerDelays(t *testing.T) {
 	for name, d := range map[string]serverDelays{
-		"constant": {processing: func(int64) time.Duration { return 10 * time.Millisecond }},
-		"exponential": {processing: func(n int64) time.Duration {
+		"constant": {processingTime: func(int64) time.Duration { return 10 * time.Millisecond }},
+		"exponential": {processingTime: func(n int64) time.Duration {
 			return time.Duration(-math.Log(1-randomFraction(n)) * float64(20*time.Millisecond))
 		}},
-		"bimodal": {processing: func(n int64) time.Duration {
+		"bimodal": {processingTime: func(n int64) time.Duration {
 			if randomFraction(n) < 0.95 {
 				return 5 * time.Millisecond
 			}
 			return 300 * time.Millisecond
 		}},
-		"stall": {processing: func(int64) time.Duration { return 10 * time.Millisecond }, stallPeriod: 10 * time.Second, stallLength: 2 * time.Second},
+		"stall": {processingTime: func(int64) time.Duration { return 10 * time.Millisecond }, stallPeriod: 10 * time.Second, stallLength: 2 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -203,7 +203,7 @@
 func TestRequestsWithoutAConnectionAreNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := Options{Process: schedule.Process{Rate: schedule.Steady(100)}, Duration: 10 * time.Second, ResponseTimeout: 2 * time.Second, Connections: 10}
-		result := measure(t, o, serverDelays{processing: func(int64) time.Duration { return 500 * time.Millisecond }})
+		result := measure(t, o, serverDelays{processingTime: func(int64) time.Duration { return 500 * time.Millisecond }})
 		// With 500 ms per request, 10 connections serve 20 of the 100 requests that are due per second.
 		if result.Scheduled != 1000 || result.NotSent < 790 || result.NotSent > 810 || result.CountByOutcome()["200"] != result.Scheduled-result.NotSent ||
 			result.SendLateness.Max() > time.Millisecond {
@@ -307,14 +307,14 @@
 }
 
 func TestRunRejectsInvalidOptions(t *testing.T) {
-	valid := Options{Process: schedule.Process{Rate: schedule.Steady(10)}, Duration: time.Second, ResponseTimeout: time.Second, Connections: 1}
+	validOptions := Options{Process: schedule.Process{Rate: schedule.Steady(10)}, Duration: time.Second, ResponseTimeout: time.Second, Connections: 1}
 	for name, change := range map[string]func(*Options){
 		"no rate":             func(o *Options) { o.Process.Rate = nil },
 		"no duration":         func(o *Options) { o.Duration = 0 },
 		"no response timeout": func(o *Options) { o.ResponseTimeout = 0 },
 		"no connections":      func(o *Options) { o.Connections = 0 },
 	} {
-		o := valid
+		o := validOptions
 		change(&o)
 		if _, err := Run(t.Context(), o, lateSender{}); err == nil {
 			t.Errorf("%s: Run succeeded, want an error", name)
--- a/internal/testkit/schedule/schedule.go
+++ b/internal/testkit/schedule/schedule.go
@@ -85,8 +85,8 @@
 	}
 	// The upper bound of the rate may exceed the mean rate by far, so a mix is rejected before any arrival is drawn only if over four
 	// times MaxArrivals are expected at that bound.
-	if candidates := bound * m.Length.Seconds(); candidates > 4*float64(m.MaxArrivals) {
-		return nil, fmt.Errorf("the schedule may have up to %.0f arrivals, far more than the limit of %d", candidates, m.MaxArrivals)
+	if expectedCandidates := bound * m.Length.Seconds(); expectedCandidates > 4*float64(m.MaxArrivals) {
+		return nil, fmt.Errorf("the schedule may have up to %.0f arrivals, far more than the limit of %d", expectedCandidates, m.MaxArrivals)
 	}
 	var arrivals []Arrival
 	for seconds := 0.0; ; {
--- a/internal/testkit/schedule/schedule_test.go
+++ b/internal/testkit/schedule/schedule_test.go
@@ -60,8 +60,8 @@
 			t.Errorf("%v arrivals from %d s to %d s, want about %v", countPer10s[i], 10*i, 10*i+10, want)
 		}
 	}
-	if fraction := firstClassCount / float64(len(arrivals)); math.Abs(fraction-0.75) > 0.03 {
-		t.Errorf("a fraction of %v of the arrivals is of class 0, want 0.75 within 0.03", fraction)
+	if firstClassFraction := firstClassCount / float64(len(arrivals)); math.Abs(firstClassFraction-0.75) > 0.03 {
+		t.Errorf("a fraction of %v of the arrivals is of class 0, want 0.75 within 0.03", firstClassFraction)
 	}
 }
 
@@ -98,19 +98,19 @@
 			arrivals = append(arrivals, Arrival{At: time.Duration(i) * 100 * time.Millisecond})
 		}
 		stallEnded := make(chan struct{}) // closed at the end of the stall
-		var sent []time.Duration          // time of each call of send, since start
+		var sentAt []time.Duration        // time of each call of send, since start
 		Dispatch(start, arrivals, nil, func(i int, due time.Time) {
-			sent = append(sent, time.Since(start))
+			sentAt = append(sentAt, time.Since(start))
 			go func() { <-stallEnded }() // stands for a request that waits for its response until the stall ends
 		})
 		close(stallEnded)
-		for i, at := range sent {
+		for i, at := range sentAt {
 			if at != arrivals[i].At {
 				t.Errorf("arrival %d dispatched at %v, want %v", i, at, arrivals[i].At)
 			}
 		}
-		if len(sent) != 50 {
-			t.Errorf("%d arrivals dispatched, want 50", len(sent))
+		if len(sentAt) != 50 {
+			t.Errorf("%d arrivals dispatched, want 50", len(sentAt))
 		}
 	})
 }
--- a/internal/testkit/schedule/stream.go
+++ b/internal/testkit/schedule/stream.go
@@ -68,7 +68,7 @@
 
 	hasDrawnFirstGap bool    // whether the first gap of Even has been drawn
 	now              float64 // seconds from the start of the run up to which arrivals have been generated
-	nextPoint        int     // index of the first point of the rate curve that is later than now
+	nextPoint        int     // index of the first point of the rate curve after the instant up to which arrivals have been generated
 	isOn             bool    // whether the present phase of OnOff has arrivals
 	phaseEnd         float64 // seconds from the start of the run to the end of the present OnOff phase; infinite for other gaps
 }
@@ -102,11 +102,11 @@
 // drawPhaseEnd draws the end of the current phase of OnOff. Exponential lengths are memoryless, so it makes no difference
 // whether the phase begins now or is under way.
 func (s *Stream) drawPhaseEnd() float64 {
-	mean := s.process.Off
+	meanLength := s.process.Off
 	if s.isOn {
-		mean = s.process.On
+		meanLength = s.process.On
 	}
-	return s.now + mean.Seconds()*s.rng.ExpFloat64()
+	return s.now + meanLength.Seconds()*s.rng.ExpFloat64()
 }
 
 // drawGap draws the gap to the next arrival, in units of the mean gap at the current rate.
@@ -127,7 +127,7 @@
 
 // Next returns the time from the start of the run to the next arrival; ok is false if there is no further arrival before end.
 func (s *Stream) Next(end time.Duration) (instant time.Duration, ok bool) {
-	// The integral of the rate from now to the next arrival equals the drawn gap, in units of the mean gap. The integral is
+	// The integral of the rate from s.now to the next arrival equals the drawn gap, in units of the mean gap. The integral is
 	// evaluated for one linear segment of the rate after another.
 	remaining := s.drawGap()
 	for {
@@ -149,14 +149,14 @@
 	}
 }
 
-// segment finds the longest linear segment of the rate that begins now and ends at limit at the latest. It returns the end of the
-// segment in seconds from the start of the run, and the rates now and at the end of the segment, in arrivals per second.
-func (s *Stream) segment(limit float64) (end, rateNow, rateAtEnd float64) {
+// segment finds the longest linear segment of the rate that begins at s.now and ends at latestEnd at the latest. It returns the end
+// of the segment in seconds from the start of the run, and the rates at s.now and at the end of the segment, in arrivals per second.
+func (s *Stream) segment(latestEnd float64) (end, rateNow, rateAtEnd float64) {
 	curve := s.process.Rate
 	for s.nextPoint < len(curve) && curve[s.nextPoint].At.Seconds() <= s.now {
 		s.nextPoint++
 	}
-	end = min(limit, s.phaseEnd)
+	end = min(latestEnd, s.phaseEnd)
 	switch {
 	case s.nextPoint == len(curve):
 		rateNow = curve[len(curve)-1].PerSecond
@@ -172,11 +172,11 @@
 		rateAtEnd = a.PerSecond + slope*(end-a.At.Seconds())
 	}
 	if s.process.Gaps == OnOff {
-		factor := 0.0
+		onOffFactor := 0.0
 		if s.isOn {
-			factor = 1 / onFraction(s.process.On, s.process.Off)
+			onOffFactor = 1 / onFraction(s.process.On, s.process.Off)
 		}
-		rateNow, rateAtEnd = rateNow*factor, rateAtEnd*factor
+		rateNow, rateAtEnd = rateNow*onOffFactor, rateAtEnd*onOffFactor
 	}
 	return end, max(rateNow, 0), max(rateAtEnd, 0)
 }
--- a/internal/testkit/schedule/stream_test.go
+++ b/internal/testkit/schedule/stream_test.go
@@ -76,7 +76,7 @@
 	for name, c := range map[string]struct {
 		process             Process
 		countTolerance      float64               // allowed deviation of the number of arrivals, as a fraction of the expected number: five standard deviations, or one arrival for even gaps
-		dispersion          float64               // expected index of dispersion in windows of one second
+		wantDispersion      float64               // expected index of dispersion in windows of one second
 		dispersionTolerance float64               // allowed deviation of the index of dispersion
 		gapCDF              func(float64) float64 // cumulative distribution of the gaps in seconds; nil: not tested
 	}{
@@ -88,17 +88,17 @@
 		}},
 		"exponential": {Process{Gaps: Exponential}, 5 / math.Sqrt(wantCount), 1, 0.35, exponentialCDF},
 		// With an exponent a over 2, the gaps have the variance minGap^2 * a / ((a-2) * (a-1)^2). The index of dispersion tends to the
-		// variance divided by the square of the mean gap, which is 1 / (a * (a-2)).
+		// quotient of the variance and the square of the mean gap. This quotient is 1 / (a * (a-2)).
 		"pareto": {Process{Gaps: Pareto, Tail: 3}, 5 * math.Sqrt(1.0/3/wantCount), 1.0 / 3, 0.25, func(x float64) float64 {
 			minGap := 2.0 / 3 / rate
 			if x <= minGap {
 				return 0
 			}
-			ratio := minGap / x
-			return 1 - ratio*ratio*ratio
+			minGapRatio := minGap / x
+			return 1 - minGapRatio*minGapRatio*minGapRatio
 		}},
-		// With rate r and phases of 0.1 s in windows of 1 s the index of dispersion is
-		// 1 + 2 * r * (off/on) * tau * (1 - tau * (1 - e^(-1/tau))), with tau = on * off / (on + off).
+		// In windows of 1 s, the index of dispersion is 1 + 2 * r * (off/on) * tau * (1 - tau * (1 - e^(-1/tau))). r is the mean rate
+		// per second over all phases, on and off are the phases' mean lengths of 0.1 s each, and tau = on * off / (on + off).
 		"on-off": {Process{Gaps: OnOff, On: 100 * time.Millisecond, Off: 100 * time.Millisecond}, 5 * math.Sqrt(40/wantCount),
 			1 + 2*rate*0.05*(1-0.05*(1-math.Exp(-20))), 12, nil},
 	} {
@@ -108,10 +108,10 @@
 			t.Errorf("%s: %d arrivals, want about %.0f", name, len(instants), wantCount)
 		}
 		d := indexOfDispersion(instants, length.Seconds(), 1)
-		if math.Abs(d-c.dispersion) > c.dispersionTolerance {
-			t.Errorf("%s: index of dispersion %.3f, want %.3f within %.3f", name, d, c.dispersion, c.dispersionTolerance)
+		if math.Abs(d-c.wantDispersion) > c.dispersionTolerance {
+			t.Errorf("%s: index of dispersion %.3f, want %.3f within %.3f", name, d, c.wantDispersion, c.dispersionTolerance)
 		}
-		t.Logf("%s: %d arrivals, index of dispersion %.3f (expected: %.3f)", name, len(instants), d, c.dispersion)
+		t.Logf("%s: %d arrivals, index of dispersion %.3f (expected: %.3f)", name, len(instants), d, c.wantDispersion)
 		if c.gapCDF == nil {
 			continue
 		}
