--- a/internal/testkit/rehearse/chart.go
+++ b/internal/testkit/rehearse/chart.go
@@ -14,23 +14,23 @@
 // chart is a plot over the time of a day, written as SVG.
 type chart struct {
 	strings.Builder
-	height   float64 // height of the chart in units of the SVG view box
-	length   float64 // length of the time axis in seconds
-	scaleMax float64 // value at the top of the vertical scale
+	height      float64 // height of the chart in units of the SVG view box
+	axisSeconds float64 // length of the time axis in seconds
+	scaleMax    float64 // value at the top of the vertical scale
 }
 
 // The width of a chart and the margins around its plot, in units of the SVG view box.
 const (
-	chartWidth  = 1000.0
-	chartLeft   = 56.0
-	chartRight  = 12.0
-	chartTop    = 8.0
-	chartBottom = 22.0
+	chartWidth   = 1000.0
+	marginLeft   = 56.0
+	marginRight  = 12.0
+	marginTop    = 8.0
+	marginBottom = 22.0
 )
 
-// newChart starts a chart with a height in units of the view box, and a time axis with a length in seconds.
-func newChart(height, length, scaleMax float64) *chart {
-	c := &chart{height: height, length: max(length, 1), scaleMax: scaleMax}
+// newChart starts a chart with a height in units of the view box, and with a time axis of axisSeconds.
+func newChart(height, axisSeconds, scaleMax float64) *chart {
+	c := &chart{height: height, axisSeconds: max(axisSeconds, 1), scaleMax: scaleMax}
 	fmt.Fprintf(&c.Builder, `<svg viewBox="0 0 %.0f %.0f" role="img">`, chartWidth, height)
 	return c
 }
@@ -38,12 +38,12 @@
 // x returns the horizontal position in the view box of an instant, in seconds since the start of the day. An instant outside the
 // time axis is moved to its nearest end.
 func (c *chart) x(seconds float64) float64 {
-	return chartLeft + (chartWidth-chartLeft-chartRight)*min(max(seconds, 0), c.length)/c.length
+	return marginLeft + (chartWidth-marginLeft-marginRight)*min(max(seconds, 0), c.axisSeconds)/c.axisSeconds
 }
 
 // y returns the vertical position in the view box of a value. A value outside the scale is moved to its nearest end.
 func (c *chart) y(value float64) float64 {
-	return chartTop + (c.height-chartTop-chartBottom)*(1-min(max(value, 0), c.scaleMax)/c.scaleMax)
+	return marginTop + (c.height-marginTop-marginBottom)*(1-min(max(value, 0), c.scaleMax)/c.scaleMax)
 }
 
 // drawScale draws five horizontal grid lines, each labelled with its value. format is the printf format of a value.
@@ -52,23 +52,23 @@
 		v := c.scaleMax * float64(i) / 4
 		fmt.Fprintf(&c.Builder, `<line class="grid" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"/>`+
 			`<text class="tick" x="%.1f" y="%.1f" text-anchor="end">%s</text>`,
-			chartLeft, chartWidth-chartRight, c.y(v), c.y(v), chartLeft-6, c.y(v)+4, fmt.Sprintf(format, v))
+			marginLeft, chartWidth-marginRight, c.y(v), c.y(v), marginLeft-6, c.y(v)+4, fmt.Sprintf(format, v))
 	}
 }
 
 // drawTimeAxis writes the labels of the time axis below the plot.
 func (c *chart) drawTimeAxis() {
-	step := timeAxisStep(c.length)
-	for s := 0.0; s <= c.length; s += step {
+	step := timeAxisStep(c.axisSeconds)
+	for s := 0.0; s <= c.axisSeconds; s += step {
 		fmt.Fprintf(&c.Builder, `<text class="tick" x="%.1f" y="%.1f" text-anchor="middle">%.0f s</text>`, c.x(s), c.height-6, s)
 	}
 }
 
 // timeAxisStep returns the distance in seconds between the labels of a time axis. It is a round number that gives at most
 // thirteen labels for axes of up to two hours.
-func timeAxisStep(length float64) float64 {
+func timeAxisStep(axisSeconds float64) float64 {
 	for _, step := range []float64{1, 2, 5, 10, 15, 30, 60, 120, 300, 600} {
-		if length/step <= 12 {
+		if axisSeconds/step <= 12 {
 			return step
 		}
 	}
@@ -94,7 +94,7 @@
 	for _, fault := range r.Faults {
 		x, end := c.x(fault.Start.Seconds()), c.x((fault.Start + fault.Duration).Seconds())
 		fmt.Fprintf(&c.Builder, `<rect class="band %s" x="%.1f" width="%.1f" y="%.1f" height="%.1f"/>`,
-			fault.Kind, x, max(end-x, 1), chartTop, c.height-chartTop-chartBottom)
+			fault.Kind, x, max(end-x, 1), marginTop, c.height-marginTop-marginBottom)
 	}
 }
 
@@ -104,7 +104,7 @@
 		for _, v := range rule.Violations {
 			x := c.x(v.At.Seconds())
 			fmt.Fprintf(&c.Builder, `<line class="breach" x1="%.1f" x2="%.1f" y1="%.1f" y2="%.1f"><title>rule %d, %.2f s: %s</title></line>`,
-				x, x, chartTop, c.height-chartBottom, rule.Number, v.At.Seconds(), html.EscapeString(violationText(v)))
+				x, x, marginTop, c.height-marginBottom, rule.Number, v.At.Seconds(), html.EscapeString(violationText(v)))
 		}
 	}
 }
@@ -129,7 +129,8 @@
 	}
 }
 
-// finish returns the finished chart. All text in it has been escaped.
+// finish ends the SVG element and returns it as HTML that a template inserts without escaping. Names and descriptions in the chart
+// must have been escaped when they were drawn.
 func (c *chart) finish() template.HTML {
 	c.WriteString("</svg>")
 	return template.HTML(c.String())
--- a/internal/testkit/rehearse/client.go
+++ b/internal/testkit/rehearse/client.go
@@ -14,10 +14,10 @@
 
 // outcome is the result of a client's request after all its attempts.
 type outcome struct {
-	isServed bool          // whether the last attempt was answered with status 200
-	duration time.Duration // time from when the request was due until the client was served or gave up
-	status   int           // HTTP status of the response to the last attempt; 0: it had no complete response
-	attempts int           // number of attempts that the client sent
+	isServed     bool          // whether the last attempt was answered with status 200
+	duration     time.Duration // time from when the request was due until the client was served or gave up
+	status       int           // HTTP status of the response to the last attempt; 0: it had no complete response
+	attemptsSent int           // number of attempts that the client sent
 }
 
 // isInTime reports whether the request was served within the latency objective.
@@ -48,8 +48,8 @@
 		if timeout < time.Millisecond {
 			return
 		}
-		response := r.clients.Do(r.newAttempt(request, o.attempts, timeout))
-		o.attempts++
+		response := r.clients.Do(r.newAttempt(request, o.attemptsSent, timeout))
+		o.attemptsSent++
 		o.status = response.Status
 		if response.Status == http.StatusOK {
 			o.isServed = true
@@ -57,7 +57,7 @@
 		}
 		isRejected := isRejection(response.Status)
 		mayHaveRun := class.Effect != invariant.Safe && response.IsAccepted && !isRejected
-		if response.HasLeft || o.attempts > request.MaxRetries || mayHaveRun {
+		if response.HasLeft || o.attemptsSent > request.MaxRetries || mayHaveRun {
 			return
 		}
 		delay := request.Backoff
@@ -70,15 +70,15 @@
 	}
 }
 
-// newAttempt returns a client's next attempt to send a request. attempts is the number of attempts that the client has already sent
-// for the request, and timeout is the time limit of the next attempt.
-func (r *rehearsal) newAttempt(request *Request, attempts int, timeout time.Duration) fake.Request {
+// newAttempt returns a client's next attempt to send a request. attemptsSent is the number of attempts that the client has already
+// sent for the request, and timeout is the time limit of the next attempt.
+func (r *rehearsal) newAttempt(request *Request, attemptsSent int, timeout time.Duration) fake.Request {
 	attempt := fake.Request{
 		ID:             r.newID("try"),
 		Class:          request.Class,
 		Tenant:         r.plan.Day.Tenants[request.Tenant].Name,
 		IdempotencyKey: request.IdempotencyKey,
-		IsRetry:        attempts > 0,
+		IsRetry:        attemptsSent > 0,
 		Job:            request.Job,
 		Timeout:        timeout,
 		Connect:        r.frontLayer.Connect,
@@ -86,14 +86,14 @@
 	if r.plan.Day.Load.HasCostHints {
 		attempt.CostHint = costHint(request)
 	}
-	if attempts == 0 {
-		attempt.LeaveAfter = request.LeaveAfter
+	if attemptsSent == 0 {
+		attempt.LeaveAfter = request.DisconnectAfter
 	}
 	return attempt
 }
 
 // costHint returns a client's estimate of a request's work, which lies between half and twice the actual work.
 func costHint(request *Request) time.Duration {
-	rng := rand.New(rand.NewPCG(request.Seed, sourceJobs))
+	rng := rand.New(rand.NewPCG(request.Seed, randSourceJobs))
 	return time.Duration(float64(request.Job.TotalWork()) * (0.5 + 1.5*rng.Float64()))
 }
--- a/internal/testkit/rehearse/cluster.go
+++ b/internal/testkit/rehearse/cluster.go
@@ -25,20 +25,21 @@
 // at which sidecars listen for clients.
 const firstClusterAddrIndex = 2000
 
-// maxClusterEvents bounds the number of events in a cluster's timeline, and separately the number of its version reports.
+// maxClusterEvents bounds the number of events in a cluster's timeline, and separately the number of recorded responses that state
+// which version of the settings a member acts on.
 const maxClusterEvents = maxEvents / 10
 
 // cluster is the cluster of the sidecars before the first tier. It is nil for a day without a cluster; the methods that are called
 // for every day do nothing for nil.
 type cluster struct {
-	rehearsal *rehearsal
-	network   *faultnet.Network         // network between the members, which injects the faults of links
-	members   map[string]*clusterMember // members by the name of the sidecar; not modified after buildCluster
-	pollers   sync.WaitGroup            // goroutines that poll the members, or eject and restore an endpoint
+	rehearsal    *rehearsal
+	network      *faultnet.Network         // network between the members; it injects the faults of the links between them
+	members      map[string]*clusterMember // members by the name of the sidecar; not modified after buildCluster
+	adminClients sync.WaitGroup            // goroutines that send commands to the members' admin listeners: polls, and commands that eject or restore an endpoint
 
 	mu             sync.Mutex
-	events         []clusterinvariant.Event         // events of the members' processes, the changes of their views, and the faults
-	versionReports []clusterinvariant.VersionReport // responses of members that hold a lease on the version they act on
+	events         []clusterinvariant.Event         // starts and ends of members' processes and of faults, and changes of the members' views of the cluster
+	versionReports []clusterinvariant.VersionReport // responses to polls, each of a member that holds a lease on the version of the settings that it acts on
 	activeFaults   int                              // number of faults of links or processes that are active
 }
 
@@ -71,7 +72,7 @@
 			return err
 		}
 		listenAddrs, advertisedAddrs = append(listenAddrs, listenAddr), append(advertisedAddrs, relayAddr)
-		if i < config.Voters {
+		if i < config.VoterCount {
 			voters = append(voters, fmt.Sprintf("%q", sidecarName(i)))
 		}
 	}
@@ -84,7 +85,7 @@
 		text := fmt.Sprintf("admin_addr = %q\n[fleet]\ncluster = %q\nlisten = %q\nadvertise = %q\njoin = [%q, %q]\nvoters = [%s]\n",
 			adminAddr, r.plan.Day.Name, listenAddrs[i], advertisedAddrs[i], advertisedAddrs[0],
 			advertisedAddrs[len(advertisedAddrs)/2], strings.Join(voters, ", "))
-		member := &clusterMember{configText: text + config.fleetKeys(r.workDir, name, i < config.Voters), adminAddr: adminAddr}
+		member := &clusterMember{configText: text + config.fleetKeys(r.workDir, name, i < config.VoterCount), adminAddr: adminAddr}
 		if config.ClockRate.Hi > 0 {
 			member.clockRateEnv = fmt.Sprintf("%s=%v", transport.ClockRateEnv, config.ClockRate.At(r.drawFractionFor("clock", name)))
 		}
@@ -143,10 +144,10 @@
 	}
 }
 
-// beginFault counts a fault of links or processes that begins; see changeActiveFaults.
+// beginFault adds 1 to the number of active faults of links or processes.
 func (c *cluster) beginFault() { c.changeActiveFaults(1) }
 
-// endFault counts a fault of links or processes that is over; see changeActiveFaults.
+// endFault subtracts 1 from the number of active faults of links or processes.
 func (c *cluster) endFault() { c.changeActiveFaults(-1) }
 
 // changeActiveFaults adds change to the number of active faults. It records an event when the number leaves 0 or returns to 0.
@@ -167,8 +168,8 @@
 }
 
 // inject injects a fault of links when it is due and returns when the fault is over. When ctx ends, it removes the fault.
-func (c *cluster) inject(ctx context.Context, start time.Time, fault LinkFault) {
-	if !sleep(ctx, time.Until(start.Add(fault.Start))) {
+func (c *cluster) inject(ctx context.Context, dayStartedAt time.Time, fault LinkFault) {
+	if !sleep(ctx, time.Until(dayStartedAt.Add(fault.Start))) {
 		return
 	}
 	c.beginFault()
@@ -181,8 +182,8 @@
 		}
 		c.setLinks(fault, link)
 		wait := time.Until(end)
-		if fault.Period > 0 {
-			wait = min(wait, fault.Period)
+		if fault.PhaseDuration > 0 {
+			wait = min(wait, fault.PhaseDuration)
 		}
 		if !sleep(ctx, wait) {
 			break
@@ -203,11 +204,11 @@
 	}
 }
 
-// close waits for the pollers, which stop when the rehearsal's context ends, and closes the network.
+// close waits for the goroutines of startAdminClients, which stop when the rehearsal's context ends, and closes the network.
 func (c *cluster) close() {
 	if c == nil {
 		return
 	}
-	c.pollers.Wait()
+	c.adminClients.Wait()
 	c.network.Close()
 }
--- a/internal/testkit/rehearse/cluster_config.go
+++ b/internal/testkit/rehearse/cluster_config.go
@@ -20,27 +20,27 @@
 // ClusterConfig configures a cluster of the sidecars before the first tier. Members of a cluster are started with operators'
 // files. In a day's file, the cluster is called a fleet.
 type ClusterConfig struct {
-	Voters           int                  `toml:"voters"`        // number of sidecars that are voters, odd or 0
+	VoterCount       int                  `toml:"voters"`        // number of sidecars that are voters, odd or 0
 	ProbeInterval    time.Duration        `toml:"probe_every"`   // interval of the failure detector's probes; 0: the daemon's default
 	ProbeTimeout     time.Duration        `toml:"probe_timeout"` // timeout of a probe; 0: the daemon's default
 	SuspicionTimeout time.Duration        `toml:"suspicion"`     // time from suspicion to failure of a peer; 0: the daemon's default
-	ClockRate        tomlfile.NumberRange `toml:"clock"`         // rate of each sidecar's clock relative to real time; needs a -race build
-	DetectWithin     time.Duration        `toml:"detect"`        // longest time until all other sidecars must have detected a sidecar's failure
-	SettleWithin     time.Duration        `toml:"settle"`        // longest time from the last fault until all views must match which sidecars run
+	ClockRate        tomlfile.NumberRange `toml:"clock"`         // rate of each sidecar's clock relative to real time, which only sidecars built with -race can change; 0: real time
+	DetectWithin     time.Duration        `toml:"detect"`        // time after the end of a sidecar's process within which all other sidecars must detect the end
+	SettleWithin     time.Duration        `toml:"settle"`        // time after the last fault, start or end of a sidecar within which each sidecar must see exactly the running sidecars as present
 	HasConsensus     bool                 `toml:"agreed"`        // whether sidecars agree on manual ejections by consensus; if so, an endpoint is repeatedly ejected and restored
 }
 
 // LinkFaultSpec is a fault of the links between sidecars, as a day's file describes it.
 type LinkFaultSpec struct {
-	Kind        string                 `toml:"kind"`    // kind of the fault, a key of linkFaultHasMagnitude
-	Start       tomlfile.DurationRange `toml:"at"`      // start of the fault, as time from the start of the day
-	Duration    tomlfile.DurationRange `toml:"for"`     // time from the start of the fault to its end
-	PartCount   int                    `toml:"parts"`   // number of parts into which sidecars are divided at random; the fault hits links between parts; 0: each sidecar is a part
-	IsolatesOne bool                   `toml:"alone"`   // whether the fault hits the links between one sidecar and all others; excludes PartCount
-	HasBridge   bool                   `toml:"bridge"`  // whether one sidecar is in no part, so that the fault hits none of its links
-	IsOneWay    bool                   `toml:"one_way"` // whether the fault hits only one direction of each link
-	Period      tomlfile.DurationRange `toml:"every"`   // length of the alternating active and inactive phases; 0: always active
-	Magnitude   tomlfile.NumberRange   `toml:"size"`    // strength of the fault; see linkFaultHasMagnitude
+	Kind          string                 `toml:"kind"`    // kind of the fault, a key of linkFaultHasMagnitude
+	Start         tomlfile.DurationRange `toml:"at"`      // start of the fault, as time from the start of the day
+	Duration      tomlfile.DurationRange `toml:"for"`     // time from the start of the fault to its end
+	PartCount     int                    `toml:"parts"`   // number of parts into which sidecars are divided at random; the fault hits links between parts; 0: each sidecar is a part
+	IsolatesOne   bool                   `toml:"alone"`   // whether the fault hits the links between one sidecar and all others; excludes PartCount
+	HasBridge     bool                   `toml:"bridge"`  // whether one sidecar is in no part, so that the fault hits none of its links
+	IsOneWay      bool                   `toml:"one_way"` // whether the fault hits only one direction of each link
+	PhaseDuration tomlfile.DurationRange `toml:"every"`   // length of each active phase and of each inactive phase, which alternate; 0: the fault is always active
+	Magnitude     tomlfile.NumberRange   `toml:"size"`    // strength of the fault, in seconds for "delay", otherwise a fraction of the datagrams; see linkFaultHasMagnitude
 }
 
 // linkFaultHasMagnitude holds the kinds of link faults, and whether each has a magnitude. The comment of each kind says what
@@ -55,13 +55,13 @@
 
 // LinkFault is a link fault of the plan, drawn from its LinkFaultSpec. The tags are the names of the fields in printed plans.
 type LinkFault struct {
-	Kind      string        // kind of the fault, a key of linkFaultHasMagnitude
-	Start     time.Duration `json:"At"`  // start of the fault, as time from the start of the day
-	Duration  time.Duration `json:"For"` // time from the start of the fault to its end
-	Parts     [][]string    // names of the sidecars in each part; the fault hits links between parts
-	IsOneWay  bool          `json:"OneWay"` // whether only the direction from a part to later parts is hit
-	Period    time.Duration `json:"Every"`  // length of the alternating active and inactive phases; 0: always active
-	Magnitude float64       `json:"Size"`   // strength of the fault; see linkFaultHasMagnitude
+	Kind          string        // kind of the fault, a key of linkFaultHasMagnitude
+	Start         time.Duration `json:"At"`  // start of the fault, as time from the start of the day
+	Duration      time.Duration `json:"For"` // time from the start of the fault to its end
+	Parts         [][]string    // names of the sidecars in each part; the fault hits links between parts
+	IsOneWay      bool          `json:"OneWay"` // whether the fault hits only the direction from each part to the parts after it in Parts
+	PhaseDuration time.Duration `json:"Every"`  // length of each active phase and of each inactive phase, which alternate; 0: the fault is always active
+	Magnitude     float64       `json:"Size"`   // strength of the fault, in seconds for "delay", otherwise a fraction of the datagrams; see linkFaultHasMagnitude
 }
 
 // checkCluster checks the cluster and the faults of its links, and sets the default time limits of a cluster.
@@ -73,11 +73,11 @@
 		if c.SettleWithin == 0 {
 			c.SettleWithin = defaultSettleWithin
 		}
-		hasValidVoters := c.Voters >= 0 && float64(c.Voters) <= d.Sidecars.Count.Lo && (c.Voters == 0 || c.Voters%2 == 1)
+		hasValidVoters := c.VoterCount >= 0 && float64(c.VoterCount) <= d.Sidecars.Count.Lo && (c.VoterCount == 0 || c.VoterCount%2 == 1)
 		isWithinDrift := c.ClockRate.Hi <= 1+maxClockDrift && c.ClockRate.Lo >= 1-maxClockDrift
 		if err := f.Check("fleet", []tomlfile.Requirement{
 			tomlfile.Require("voters", hasValidVoters, "0 or an odd number, at most the number of sidecars"),
-			tomlfile.Require("agreed", !c.HasConsensus || c.Voters > 0 && isWithinDrift,
+			tomlfile.Require("agreed", !c.HasConsensus || c.VoterCount > 0 && isWithinDrift,
 				fmt.Sprintf("true only with voters, and with a clock from %v to %v", 1-maxClockDrift, 1+maxClockDrift)),
 			tomlfile.Require("clock", c.ClockRate.Hi == 0 || c.ClockRate.Lo >= 0.5 && c.ClockRate.Hi <= 2, "from 0.5 to 2"),
 			tomlfile.Require("detect", c.DetectWithin > 0, "over 0"),
@@ -105,12 +105,12 @@
 	return nil
 }
 
-// drawLinkFaults draws the faults of the links between the sidecars.
+// drawLinkFaults draws the plan's faults of the links between sidecars at random from the ranges in Day.LinkFaults.
 func (p *Plan) drawLinkFaults() {
-	rng := newRand(p.Seed, sourceLinkFaults)
+	rng := newRand(p.Seed, randSourceLinkFaults)
 	for _, spec := range p.Day.LinkFaults {
 		fault := LinkFault{Kind: spec.Kind, Start: spec.Start.At(rng.Float64()), Duration: spec.Duration.At(rng.Float64()),
-			IsOneWay: spec.IsOneWay, Period: spec.Period.At(rng.Float64()), Magnitude: spec.Magnitude.At(rng.Float64())}
+			IsOneWay: spec.IsOneWay, PhaseDuration: spec.PhaseDuration.At(rng.Float64()), Magnitude: spec.Magnitude.At(rng.Float64())}
 		fault.Parts = p.partition(rng, spec)
 		p.LinkFaults = append(p.LinkFaults, fault)
 	}
@@ -143,7 +143,7 @@
 	return parts
 }
 
-// linkState returns the state of a link that the fault hits while it is active.
+// linkState returns the state that the fault gives to each link that it hits, for as long as the fault is active.
 func (f *LinkFault) linkState() faultnet.Link {
 	switch f.Kind {
 	case "cut":
--- a/internal/testkit/rehearse/cluster_poll.go
+++ b/internal/testkit/rehearse/cluster_poll.go
@@ -17,21 +17,21 @@
 	ejectionToggleInterval = 1500 * time.Millisecond // interval between commands that alternately eject and restore an endpoint
 )
 
-// startPollers starts goroutines that poll the sidecars' views of one another, and with consensus their active versions, until done
-// closes. With consensus, another goroutine alternately ejects and restores an endpoint.
-func (c *cluster) startPollers(done <-chan struct{}) {
+// startAdminClients starts goroutines that poll the sidecars' views of one another, and with consensus the sidecars' active versions,
+// until done closes. With consensus, another goroutine alternately ejects and restores an endpoint.
+func (c *cluster) startAdminClients(done <-chan struct{}) {
 	if c == nil {
 		return
 	}
 	hasConsensus := c.rehearsal.plan.Day.Cluster.HasConsensus
 	for name, member := range c.members {
-		c.pollers.Go(func() { c.pollMembership(name, member, done) })
+		c.adminClients.Go(func() { c.pollMembership(name, member, done) })
 		if hasConsensus {
-			c.pollers.Go(func() { c.pollVersion(name, member, done) })
+			c.adminClients.Go(func() { c.pollVersion(name, member, done) })
 		}
 	}
 	if hasConsensus {
-		c.pollers.Go(func() { c.toggleManualEjection(done) })
+		c.adminClients.Go(func() { c.toggleManualEjection(done) })
 	}
 }
 
--- a/internal/testkit/rehearse/cluster_result.go
+++ b/internal/testkit/rehearse/cluster_result.go
@@ -18,7 +18,7 @@
 	Held                      bool                `json:"held"`     // whether no rule of the cluster was violated
 	Rules                     []ClusterRuleResult `json:"rules"`    // verdicts on the membership rules, then on the version rules if the cluster has consensus
 	SlowestDetectionSeconds   float64             `json:"detect_s"` // longest time until all other sidecars had detected a sidecar's failure
-	SlowestConvergenceSeconds float64             `json:"settle_s"` // longest time from the last fault until all views matched which sidecars ran
+	SlowestConvergenceSeconds float64             `json:"settle_s"` // longest time from the last fault, start or end of a sidecar until all sidecars saw exactly the running sidecars as present
 	EventCount                int                 `json:"events"`   // number of events in the timeline of the cluster
 
 	VersionReportCount          int     `json:"acts,omitempty"`            // number of polls in which a sidecar held a lease on a settings version
@@ -34,13 +34,14 @@
 	Violations      []clusterinvariant.Violation `json:"breaches"` // the first violations, at most maxReportedViolations
 }
 
-// check returns the verdicts on the timeline of the cluster, which ends at end, or nil for a nil cluster. dayStart and end are of
-// the recorder's clock; the instants of violations in the result are relative to dayStart.
+// check returns the verdicts on the timeline of the cluster, or nil for a nil cluster. dayStart is the start of the day and end is
+// the end of the timeline, both as times that rehearsal.recorder returned. The instants of violations in the result are relative to
+// dayStart.
 func (c *cluster) check(dayStart, end time.Duration) *ClusterResult {
 	if c == nil {
 		return nil
 	}
-	c.pollers.Wait()
+	c.adminClients.Wait()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	config := c.rehearsal.plan.Day.Cluster
--- a/internal/testkit/rehearse/day.go
+++ b/internal/testkit/rehearse/day.go
@@ -26,15 +26,15 @@
 
 	Load struct {
 		Utilization          tomlfile.NumberRange `toml:"use"`              // demand, as a fraction of the capacity of the nodes
-		OverQuotaValueFactor float64              `toml:"over_share_worth"` // factor on the value of requests beyond their tenant's quota
+		OverQuotaValueFactor float64              `toml:"over_share_worth"` // factor on the value (see Result) of a request that exceeds its tenant's quota
 		TotalQuotaFraction   tomlfile.NumberRange `toml:"quota"`            // sum of all tenants' quotas, as a fraction of the nodes' capacity
 		HasCostHints         bool                 `toml:"hints"`            // whether clients send an estimate of the work of a request
 	} `toml:"load"`
 	Sidecars struct {
-		Count    tomlfile.NumberRange `toml:"count"`     // number of sidecars before the first tier; each node that calls a further tier has one more of its own
-		Cores    float64              `toml:"cores"`     // CPU limit of one sidecar, in cores
-		MemoryMB int                  `toml:"memory_mb"` // memory limit of one sidecar, in MB
-		Sockets  int                  `toml:"sockets"`   // number of descriptors that one sidecar may have open
+		Count          tomlfile.NumberRange `toml:"count"`     // number of sidecars before the first tier; each node that calls a further tier has one more of its own
+		Cores          float64              `toml:"cores"`     // CPU limit of one sidecar, in cores
+		MemoryMB       int                  `toml:"memory_mb"` // memory limit of one sidecar, in MB
+		MaxDescriptors int                  `toml:"sockets"`   // number of descriptors that one sidecar may have open
 	} `toml:"sidecars"`
 	FrontLayer struct {
 		RemovalDelay tomlfile.DurationRange `toml:"notice"` // time for which the front layer, the clients' load balancer, still connects clients to a dead sidecar
@@ -50,16 +50,16 @@
 		ImmediateRetryFraction   float64                `toml:"at_once"`   // fraction of requests whose client retries at once, without a backoff
 		Backoff                  tomlfile.DurationRange `toml:"backoff"`   // delay before a retry of a client that does not retry at once
 		HonourRetryAfterFraction tomlfile.NumberRange   `toml:"honour"`    // fraction of requests whose client honours Retry-After
-		EarlyLeaveFraction       tomlfile.NumberRange   `toml:"hang_up"`   // fraction of requests whose client disconnects at a random instant unless it was answered before
+		EarlyDisconnectFraction  tomlfile.NumberRange   `toml:"hang_up"`   // fraction of requests whose client disconnects at a random instant unless it was answered before
 		ConnectionLifetime       tomlfile.DurationRange `toml:"keep"`      // time after which a client closes a connection; 0: unlimited
 	} `toml:"clients"`
 	Rules struct {
 		MaxAttempts        int           `toml:"attempts"`        // largest number of attempts that a sidecar sends for one request
 		MaxRetryAfter      time.Duration `toml:"max_retry_after"` // longest Retry-After that a sidecar sends; 0: it sends none
-		Tolerance          time.Duration `toml:"slack"`           // time by which an event may exceed any time limit of the rules
+		Tolerance          time.Duration `toml:"slack"`           // time by which an event may exceed each time limit of the invariants without a violation
 		DrainGrace         time.Duration `toml:"drain_grace"`     // time after the notification that a node drains or is gone, in which a sidecar may still send it attempts
-		ColdOverloadFactor float64       `toml:"fall_multiple"`   // multiple of its present capacity at which a warming node collapses
-		ColdOverloadWindow time.Duration `toml:"fall_after"`      // length of the window over which the work sent to a warming node is summed
+		ColdOverloadFactor float64       `toml:"fall_multiple"`   // limit of the work sent to a warming node within ColdOverloadWindow, as a multiple of the work that the node can do in that time; above it, the node collapses
+		ColdOverloadWindow time.Duration `toml:"fall_after"`      // length of the window over which the work sent to a warming node is summed, to compare the sum with ColdOverloadFactor
 		DialTimeout        time.Duration `toml:"dial_timeout"`    // time that a sidecar waits for a connection to a node
 	} `toml:"rules"`
 	Tiers   []Tier      `toml:"tier"`
@@ -74,7 +74,7 @@
 // Tier is a tier of nodes. A request at a node of one tier makes its calls to the next tier one after another.
 type Tier struct {
 	Name            string                 `toml:"name"`
-	Nodes           tomlfile.NumberRange   `toml:"nodes"`     // number of nodes
+	NodeCount       tomlfile.NumberRange   `toml:"nodes"`     // number of nodes
 	WorkFraction    float64                `toml:"work"`      // fraction of a class's work that one call takes in this tier
 	CallsPerRequest tomlfile.NumberRange   `toml:"calls"`     // mean number of calls to this tier by a request of the tier before
 	CellSize        tomlfile.NumberRange   `toml:"cell"`      // number of nodes of a cell, which drop duplicates together
@@ -100,7 +100,7 @@
 
 // OverloadRange holds the ranges from which the fields of a fake.OverloadSpec are drawn.
 type OverloadRange struct {
-	Threshold    tomlfile.NumberRange   `toml:"at"`     // multiple of the square root of a node's cores by which its load must exceed its cores to slow it
+	Threshold    tomlfile.NumberRange   `toml:"at"`     // a node is overloaded once its load exceeds C + Threshold * sqrt(C), where C is the number of its cores
 	AveragedOver tomlfile.DurationRange `toml:"over"`   // time over which a node's load, the number of its requests, is averaged
 	Slowdown     tomlfile.NumberRange   `toml:"slower"` // factor by which an overloaded node is slower
 	RecoverAfter tomlfile.DurationRange `toml:"rest"`   // time that a node must be mostly idle to leave the slow state
@@ -110,16 +110,16 @@
 
 // Class is a class of requests, which have the same effect, deadline and distribution of work.
 type Class struct {
-	Name             string                 `toml:"name"`
-	Effect           string                 `toml:"effect"` // whether a request may run twice: "safe", "keyed" (nodes drop duplicates by idempotency key) or "unsafe"
-	Window           time.Duration          `toml:"window"` // time for which cells drop duplicates of a request; set for "keyed" only
-	Proportion       float64                `toml:"share"`  // number of requests of this class, relative to the other classes
-	Work             tomlfile.DurationRange `toml:"work"`   // mean CPU time of a request on a core of speed 1; a call to a tier takes the fraction Tier.WorkFraction of it
-	ExternalWait     tomlfile.DurationRange `toml:"wait"`   // mean time that a request waits for other systems; a call to a tier waits the fraction Tier.WorkFraction of it
-	WorkVariation    float64                `toml:"vary"`   // coefficient of variation of the work, which is lognormal
-	LatencyObjective time.Duration          `toml:"aim"`
-	Deadline         time.Duration          `toml:"deadline"`
-	PriorityWeight   float64                `toml:"worth"` // value of a request for each second of its work
+	Name                string                 `toml:"name"`
+	Effect              string                 `toml:"effect"` // whether a request may run twice: "safe", "keyed" (nodes drop duplicates by idempotency key) or "unsafe"
+	DeduplicationWindow time.Duration          `toml:"window"` // time for which cells drop duplicates of a request; set for "keyed" only
+	Proportion          float64                `toml:"share"`  // number of requests of this class, relative to the other classes
+	Work                tomlfile.DurationRange `toml:"work"`   // mean CPU time of a request on a core of speed 1; a call to a tier takes the fraction Tier.WorkFraction of it
+	ExternalWait        tomlfile.DurationRange `toml:"wait"`   // mean time that a request waits for other systems; a call to a tier waits the fraction Tier.WorkFraction of it
+	WorkVariation       float64                `toml:"vary"`   // coefficient of variation of the work, which is lognormal
+	LatencyObjective    time.Duration          `toml:"aim"`
+	Deadline            time.Duration          `toml:"deadline"`
+	PriorityWeight      float64                `toml:"worth"` // value of a request for each second of its work
 }
 
 // Tenant is one of the parties that share the nodes. Each has a quota of requests.
@@ -150,7 +150,7 @@
 	"crash":       {hitsNodes: true},                       // nodes are killed together, and start cold after Duration
 	"drain":       {hitsNodes: true, hasDowntime: true},    // nodes drain, stop after Duration, and start cold after Downtime
 	"hang":        {hitsNodes: true, hasMagnitude: true},   // nodes never answer the fraction Magnitude of their requests
-	"reset":       {hitsNodes: true, hasMagnitude: true},   // nodes run the fraction Magnitude of requests, then reset the connection
+	"reset":       {hitsNodes: true, hasMagnitude: true},   // nodes run requests, but reset the connection instead of responding for the fraction Magnitude
 	"restart":     {hitsSidecars: true, hasDowntime: true}, // sidecars before the first tier restart one after another over Duration
 	"stall":       {hitsSidecars: true},                    // sidecars before the first tier are paused
 	"roster-late": {hasMagnitude: true},                    // notifications of discovery are late by Magnitude, in seconds
@@ -197,7 +197,7 @@
 	d.Load.OverQuotaValueFactor = 0.05
 	d.Load.TotalQuotaFraction = tomlfile.NumberRange{Lo: 0.8, Hi: 0.8}
 	d.Sidecars.Count = tomlfile.NumberRange{Lo: 1, Hi: 1}
-	d.Sidecars.Cores, d.Sidecars.MemoryMB, d.Sidecars.Sockets = 1, 192, 1024
+	d.Sidecars.Cores, d.Sidecars.MemoryMB, d.Sidecars.MaxDescriptors = 1, 192, 1024
 	d.Clients.AttemptTimeoutFraction = tomlfile.NumberRange{Lo: 0.5, Hi: 0.5}
 	d.Rules.MaxAttempts = 4
 	d.Rules.MaxRetryAfter = 2 * time.Second
@@ -222,8 +222,8 @@
 // SetLength changes the length of the day, and scales the starts and durations of its faults by the same factor. The length must be
 // from one second to one hour.
 func (d *Day) SetLength(length time.Duration) error {
-	if length < time.Second || length > maxLength {
-		return fmt.Errorf("%v is not from 1s to %v", length, maxLength)
+	if length < time.Second || length > maxDayLength {
+		return fmt.Errorf("%v is not from 1s to %v", length, maxDayLength)
 	}
 	scale := float64(length) / float64(d.Length)
 	scaled := func(r tomlfile.DurationRange) tomlfile.DurationRange {
--- a/internal/testkit/rehearse/day_check.go
+++ b/internal/testkit/rehearse/day_check.go
@@ -10,9 +10,9 @@
 
 // Bounds of a day, which keep it small enough to run on one machine.
 const (
-	maxLength = time.Hour
-	maxNodes  = 400 // largest number of nodes in all tiers together
-	maxTiers  = 5
+	maxDayLength = time.Hour
+	maxNodes     = 400 // largest number of nodes in all tiers together
+	maxTiers     = 5
 )
 
 // isFraction reports whether both bounds of a range lie in [0, 1].
@@ -23,20 +23,20 @@
 	return f.Check("", []tomlfile.Requirement{
 		tomlfile.Require("format", d.Format == 1, "1"),
 		tomlfile.Require("name", d.Name != "", "a name"),
-		tomlfile.Require("length", d.Length >= time.Second && d.Length <= maxLength, "from 1s to 1h"),
+		tomlfile.Require("length", d.Length >= time.Second && d.Length <= maxDayLength, "from 1s to 1h"),
 		tomlfile.Require("load.use", d.Load.Utilization.Lo > 0 && d.Load.Utilization.Hi <= 10, "over 0, and 10 at most"),
 		tomlfile.Require("load.quota", d.Load.TotalQuotaFraction.Lo > 0, "over 0"),
 		tomlfile.Require("load.over_share_worth", d.Load.OverQuotaValueFactor >= 0 && d.Load.OverQuotaValueFactor <= 1, "from 0 to 1"),
 		tomlfile.Require("sidecars.count", d.Sidecars.Count.Lo >= 1 && d.Sidecars.Count.Hi <= 50, "from 1 to 50"),
 		tomlfile.Require("sidecars.cores", d.Sidecars.Cores > 0, "over 0"),
 		tomlfile.Require("sidecars.memory_mb", d.Sidecars.MemoryMB >= 32, "32 at least"),
-		tomlfile.Require("sidecars.sockets", d.Sidecars.Sockets >= 64, "64 at least"),
+		tomlfile.Require("sidecars.sockets", d.Sidecars.MaxDescriptors >= 64, "64 at least"),
 		tomlfile.Require("clients.retries", d.Clients.MaxRetries.Lo >= 0 && d.Clients.MaxRetries.Hi < 10, "from 0 to under 10"),
 		tomlfile.Require("clients.try_share", d.Clients.AttemptTimeoutFraction.Lo > 0 && isFraction(d.Clients.AttemptTimeoutFraction),
 			"over 0, and 1 at most"),
 		tomlfile.Require("clients.at_once", d.Clients.ImmediateRetryFraction >= 0 && d.Clients.ImmediateRetryFraction <= 1, "from 0 to 1"),
 		tomlfile.Require("clients.honour", isFraction(d.Clients.HonourRetryAfterFraction), "from 0 to 1"),
-		tomlfile.Require("clients.hang_up", isFraction(d.Clients.EarlyLeaveFraction), "from 0 to 1"),
+		tomlfile.Require("clients.hang_up", isFraction(d.Clients.EarlyDisconnectFraction), "from 0 to 1"),
 		tomlfile.Require("rules.attempts", d.Rules.MaxAttempts >= 1, "1 at least"),
 		tomlfile.Require("rules.drain_grace", d.Rules.DrainGrace > 0, "over 0"),
 		tomlfile.Require("rules.fall_multiple", d.Rules.ColdOverloadFactor > 0, "over 0"),
@@ -52,7 +52,7 @@
 	maxNodeCount := 0.0 // highest possible number of nodes in the tiers checked so far
 	for i := range d.Tiers {
 		t, at := &d.Tiers[i], fmt.Sprintf("tier[%d]", i)
-		maxNodeCount += t.Nodes.Hi
+		maxNodeCount += t.NodeCount.Hi
 		if t.CallsPerRequest.Hi == 0 {
 			t.CallsPerRequest = tomlfile.NumberRange{Lo: 1, Hi: 1}
 		}
@@ -61,7 +61,7 @@
 		}
 		if err := f.Check(at, []tomlfile.Requirement{
 			tomlfile.Require("name", t.Name != "", "a name"),
-			tomlfile.Require("nodes", t.Nodes.Lo >= 1 && maxNodeCount <= maxNodes,
+			tomlfile.Require("nodes", t.NodeCount.Lo >= 1 && maxNodeCount <= maxNodes,
 				fmt.Sprintf("1 at least, and %d in all tiers together", maxNodes)),
 			tomlfile.Require("work", t.WorkFraction > 0, "over 0"),
 			tomlfile.Require("calls", t.CallsPerRequest.Lo >= 1 && t.CallsPerRequest.Hi <= 10, "from 1 to 10"),
@@ -117,7 +117,7 @@
 		if err := f.Check(at, []tomlfile.Requirement{
 			tomlfile.Require("name", isPlainName(c.Name) && !names[c.Name], "a name of its own, of letters, digits and -"),
 			tomlfile.Require("effect", hasEffect, "safe, keyed or unsafe"),
-			tomlfile.Require("window", (c.Effect == "keyed") == (c.Window > 0), "given for a keyed class, and only there"),
+			tomlfile.Require("window", (c.Effect == "keyed") == (c.DeduplicationWindow > 0), "given for a keyed class, and only there"),
 			tomlfile.Require("share", c.Proportion > 0, "over 0"),
 			tomlfile.Require("work", c.Work.Lo > 0, "over 0"),
 			tomlfile.Require("vary", c.WorkVariation >= 0 && c.WorkVariation <= 5, "from 0 to 5"),
--- a/internal/testkit/rehearse/faults.go
+++ b/internal/testkit/rehearse/faults.go
@@ -16,8 +16,8 @@
 )
 
 // inject waits until a fault is due, injects it and returns when the fault is over. If ctx ends, the rest of the fault is skipped.
-func (r *rehearsal) inject(ctx context.Context, start time.Time, fault Fault) {
-	if !sleep(ctx, time.Until(start.Add(fault.Start))) {
+func (r *rehearsal) inject(ctx context.Context, dayStartedAt time.Time, fault Fault) {
+	if !sleep(ctx, time.Until(dayStartedAt.Add(fault.Start))) {
 		return
 	}
 	switch fault.Kind {
--- a/internal/testkit/rehearse/faulty_sidecar_test.go
+++ b/internal/testkit/rehearse/faulty_sidecar_test.go
@@ -51,8 +51,9 @@
 			return err
 		}
 	case "sends to draining nodes":
-		// The relay keeps notifications of drains from the sidecar. The sidecar's own balancer would still pause a node that rejects its
-		// requests, and might send it nothing between the end of the grace and the end of the drain.
+		// The relay keeps notifications of drains from the sidecar. A faultyBalancer replaces the sidecar's own balancer, which would
+		// pause a draining node that rejects requests: the node might then receive no request after the drain grace, when a request
+		// is a violation.
 		if c.Discovery, err = hideDrains(c.Discovery); err != nil {
 			return err
 		}
@@ -154,7 +155,7 @@
 // pendingRequest is a request that has not had its final response yet.
 type pendingRequest struct {
 	balance.Request
-	attempts int // number of attempts that were sent for the request, at most 3
+	attemptsSent int // number of attempts that were sent for the request, at most 3
 }
 
 // newFaultyBalancer returns a constructor of balancers with a fault, for sidecar.StartWith.
@@ -189,12 +190,12 @@
 }
 
 func (b *faultyBalancer) send(now time.Duration, q *pendingRequest) {
-	if len(b.readyIDs) == 0 || q.attempts == 3 {
+	if len(b.readyIDs) == 0 || q.attemptsSent == 3 {
 		delete(b.requests, q.ID)
 		b.host.Fail(q.ID)
 		return
 	}
-	q.attempts++
+	q.attemptsSent++
 	b.attemptCount++
 	endpoint := b.readyIDs[b.attemptCount%len(b.readyIDs)]
 	if b.fault == "overloads warming nodes" {
@@ -235,7 +236,7 @@
 
 func (b *faultyBalancer) Probed(time.Duration, balance.ProbeResult) {}
 
-// sidecarCommand returns an Options.Command that runs this test binary as a sidecar with a fault.
+// sidecarCommand returns an Options.NewCommand that runs this test binary as a sidecar with a fault.
 func sidecarCommand(fault string) func() *exec.Cmd {
 	return func() *exec.Cmd {
 		cmd := exec.Command(os.Args[0])
--- a/internal/testkit/rehearse/host.go
+++ b/internal/testkit/rehearse/host.go
@@ -33,15 +33,15 @@
 // buildHosts starts the nodes and the discovery agents, and creates the sidecars without starting them.
 func (r *rehearsal) buildHosts() error {
 	cells := map[[2]int]*fake.Cell{} // cells created so far, by the indices of tier and cell
-	longestWindow := time.Duration(0)
+	longestDeduplicationWindow := time.Duration(0)
 	for _, c := range r.plan.Classes {
-		longestWindow = max(longestWindow, c.Window)
+		longestDeduplicationWindow = max(longestDeduplicationWindow, c.Window)
 	}
 	r.hosts = make([][]*host, len(r.plan.Day.Tiers))
 	for _, p := range r.plan.Nodes {
 		cellKey := [2]int{p.Spec.Tier, p.Spec.Cell}
 		if cells[cellKey] == nil {
-			cells[cellKey] = fake.NewCell(longestWindow)
+			cells[cellKey] = fake.NewCell(longestDeduplicationWindow)
 		}
 		h := &host{plan: p, cell: cells[cellKey]}
 		h.replaceNode(r, p.Spec.ID, "")
--- a/internal/testkit/rehearse/measure.go
+++ b/internal/testkit/rehearse/measure.go
@@ -10,7 +10,8 @@
 	"tuliprock/internal/testkit/schedule"
 )
 
-// The weights with which fractions of value served in time make up the points of service; see computeService. Their sum is 1.
+// The weights of the fractions of value served in time, of which computeServicePoints forms a weighted sum. The sum of the weights
+// is 1.
 const (
 	weightOverall     = 0.55
 	weightWorstWindow = 0.15
@@ -18,7 +19,7 @@
 	weightWorstTenant = 0.25
 )
 
-// The factors of the penalties, in points of service out of 100; see Penalties.
+// The points of service, out of 100, that a penalty subtracts when its measured value is 1. Penalties says what is measured for each.
 const (
 	penaltyConnections  = 8
 	penaltyWaste        = 4
@@ -29,8 +30,8 @@
 // worstWindowSeconds is the length in seconds of the time windows among which Result.WorstWindowFraction finds the worst.
 const worstWindowSeconds = 10
 
-// newResult returns the measurements and verdicts of a day that started at dayStart. It ignores events after end. Both instants
-// are of the recorder's clock.
+// newResult returns the measurements and verdicts of a day that started at dayStart. It ignores events after end. Both are times
+// that r.recorder returned.
 func (r *rehearsal) newResult(m *monitor, dayStart, end time.Duration, usageBefore resources) *Result {
 	events, dropped := r.recorder.Take()
 	events = slices.DeleteFunc(events, func(e invariant.Event) bool { return e.At > end })
@@ -63,7 +64,7 @@
 	}
 	r.addClientMetrics(result)
 	r.addNodeMetrics(result, events, dayStart)
-	result.computeService()
+	result.computeServicePoints()
 	usage := resourceUsage()
 	result.Harness = HarnessMetrics{
 		SendLatenessP50:  r.sendLateness.Quantile(0.5).Seconds(),
@@ -87,7 +88,7 @@
 		latencyBySecond[i] = schedule.NewLatencyHistogram()
 	}
 	var overall ServedValue
-	lateFailureValue, attempts := 0.0, 0
+	lateFailureValue, attemptsSent := 0.0, 0
 	for i := range r.plan.Requests {
 		request, o := &r.plan.Requests[i], &r.outcomes[i]
 		class := r.plan.Day.Classes[request.Class]
@@ -99,7 +100,7 @@
 		if !request.IsOverQuota {
 			addToServedValue(result.ByTenant, r.plan.Day.Tenants[request.Tenant].Name, request, isInTime)
 		}
-		attempts += o.attempts
+		attemptsSent += o.attemptsSent
 		result.Requests.addOutcome(o, class.LatencyObjective)
 		if o.isServed {
 			for _, name := range []string{"all", class.Name} {
@@ -121,7 +122,7 @@
 		result.BySecond[i].P50, result.BySecond[i].P99 = h.Quantile(0.5).Seconds(), h.Quantile(0.99).Seconds()
 	}
 	result.InTimeFraction, result.WorstWindowFraction = overall.Fraction, worstWindowFraction(result.BySecond)
-	result.ClientAttemptsPerRequest = ratio(float64(attempts), float64(len(r.plan.Requests)), 0)
+	result.ClientAttemptsPerRequest = ratio(float64(attemptsSent), float64(len(r.plan.Requests)), 0)
 	result.Penalties.LateFailures = penaltyLateFailures * ratio(lateFailureValue, overall.Offered, 0)
 }
 
@@ -171,10 +172,10 @@
 	result.ConnectionsPerRequest = ratio(float64(connections), n, 0)
 	offeredWork, usefulWork := 0.0, 0.0
 	for i := range r.plan.Requests {
-		total := r.plan.Requests[i].Job.TotalWork().Seconds()
-		offeredWork += total
+		totalWork := r.plan.Requests[i].Job.TotalWork().Seconds()
+		offeredWork += totalWork
 		if r.outcomes[i].isServed {
-			usefulWork += total
+			usefulWork += totalWork
 		}
 	}
 	result.Penalties.Connections = penaltyConnections * result.ConnectionsPerRequest
@@ -182,8 +183,9 @@
 	result.Penalties.Overload = penaltyOverload * ratio(float64(overloadedNodes), float64(len(r.plan.Nodes)), 0)
 }
 
-// computeService sets the points of service: the weighted fractions of value served in time, on a scale of 100, minus the penalties.
-func (r *Result) computeService() {
+// computeServicePoints sets the points of service: the weighted fractions of value served in time, on a scale of 100, minus the
+// penalties.
+func (r *Result) computeServicePoints() {
 	r.ServicePoints = 100*(weightOverall*r.InTimeFraction+weightWorstWindow*r.WorstWindowFraction+weightWorstClass*minFraction(r.ByClass)+
 		weightWorstTenant*minFraction(r.ByTenant)) -
 		r.Penalties.Connections - r.Penalties.Waste - r.Penalties.LateFailures - r.Penalties.Overload
@@ -227,10 +229,10 @@
 // is shorter than a window, it returns the fraction of the whole day.
 func worstWindowFraction(seconds []Second) float64 {
 	lowest := 1.0
-	length := min(worstWindowSeconds, len(seconds))
-	for i := 0; i+length <= len(seconds); i++ {
+	windowSeconds := min(worstWindowSeconds, len(seconds))
+	for i := 0; i+windowSeconds <= len(seconds); i++ {
 		var sum ServedValue
-		for _, s := range seconds[i : i+length] {
+		for _, s := range seconds[i : i+windowSeconds] {
 			sum.Offered += s.Offered
 			sum.InTime += s.InTime
 		}
--- a/internal/testkit/rehearse/monitor.go
+++ b/internal/testkit/rehearse/monitor.go
@@ -58,7 +58,7 @@
 }
 
 // watchStalls measures how late a timer of the rehearsal's process fires, until done closes. It records each stall that is at least
-// as long as the tolerance of the rules, since a violation near such a stall may have another cause than the sidecar.
+// as long as Day.Rules.Tolerance, since a violation near such a stall may have another cause than the sidecar.
 func (m *monitor) watchStalls(done <-chan struct{}) {
 	for lastCheck := time.Now(); ; {
 		select {
--- a/internal/testkit/rehearse/operators.go
+++ b/internal/testkit/rehearse/operators.go
@@ -8,9 +8,9 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// reservedSockets is the number of a sidecar's descriptors that are not used for connections. It is the number that a sidecar
+// reservedDescriptors is the number of a sidecar's descriptors that are not used for connections. It is the number that a sidecar
 // with the platform's configuration reserves itself.
-const reservedSockets = 40
+const reservedDescriptors = 40
 
 // operatorsFile returns the operators' file of a sidecar, which replaces the platform's configuration. agentAddr is the address of
 // the sidecar's discovery agent; member is nil for a sidecar that is in no cluster.
@@ -18,7 +18,7 @@
 	var b strings.Builder
 	day, sidecars, rules := p.Day, p.Day.Sidecars, p.Day.Rules
 	tier := day.Tiers[role.tier]
-	connections := max((sidecars.Sockets-reservedSockets)/2, 8) // limit for connections from clients, and again for connections to nodes
+	connections := max((sidecars.MaxDescriptors-reservedDescriptors)/2, 8) // limit for connections from clients, and again for connections to nodes
 	fmt.Fprintf(&b, "format = 1\n[daemon]\nname = %q\nseed = %d\ncores = %v\nmemory_mb = %d\n",
 		role.name, seed>>1|1, sidecars.Cores, sidecars.MemoryMB)
 	if member != nil {
@@ -32,7 +32,7 @@
 		fmt.Fprintf(&b, "[[class]]\nname = %q\neffect = %q\naim = %q\ndeadline = %q\nretry_header = \"Req-Retry\"\n"+
 			"id_missing = \"refuse\"\ndeadline_missing = \"refuse\"\n", c.Name, c.Effect, c.LatencyObjective, c.Deadline)
 		if p.Classes[i].Effect == invariant.IdempotencyKeyed {
-			fmt.Fprintf(&b, "window = %q\ngroup = \"cell\"\n", c.Window)
+			fmt.Fprintf(&b, "window = %q\ngroup = \"cell\"\n", c.DeduplicationWindow)
 		}
 	}
 	for i, t := range day.Tenants {
--- a/internal/testkit/rehearse/output_test.go
+++ b/internal/testkit/rehearse/output_test.go
@@ -11,7 +11,7 @@
 )
 
 // exampleResult returns a result in which rule 2 is broken, and whose names must be escaped in HTML.
-func exampleResult(balancer string, seed uint64, demand, service float64) *Result {
+func exampleResult(balancer string, seed uint64, demand, servicePoints float64) *Result {
 	r := &Result{
 		Format:         1,
 		Day:            "d<b>ay",
@@ -19,8 +19,8 @@
 		Seed:           seed,
 		Demand:         demand,
 		Valid:          true,
-		ServicePoints:  service,
-		InTimeFraction: service / 100,
+		ServicePoints:  servicePoints,
+		InTimeFraction: servicePoints / 100,
 		ByClass:        map[string]ServedValue{"look": {Offered: 2, InTime: 1, Fraction: 0.5}},
 		ByTenant:       map[string]ServedValue{"t": {Fraction: 1}},
 		Latency:        map[string]Latency{"all": {P99: 1.5}, "look": {P50: 0.25}},
--- a/internal/testkit/rehearse/plan.go
+++ b/internal/testkit/rehearse/plan.go
@@ -50,28 +50,28 @@
 	AttemptTimeout    time.Duration `json:"Wait"`    // time after which the client gives up an attempt
 	Backoff           time.Duration // delay before each retry; 0: retries are sent at once
 	HonoursRetryAfter bool          `json:"Honours"` // whether the client waits for the time that Retry-After states
-	LeaveAfter        time.Duration `json:"HangUp"`  // time after which the client disconnects from its first attempt; 0: it waits for the response
+	DisconnectAfter   time.Duration `json:"HangUp"`  // time after which the client disconnects from its first attempt; 0: it waits for the response
 }
 
 // The parts of a plan that have a source of random numbers of their own, so that a change to one part does not change the others.
 const (
-	sourceNodes      = iota + 1 // nodes, number of sidecars, utilization, and the mean work and calls of requests
-	sourceArrivals              // arrivals of requests, and the behaviour that all clients have in common
-	sourceFaults                // faults of nodes, sidecars, discovery and demand
-	sourceTenants               // quotas and demand of tenants
-	sourceJobs                  // work and client's behaviour of one request, with the seed of the request's Arrival
-	sourceLinkFaults            // faults of the links between sidecars
+	randSourceNodes      = iota + 1 // nodes, number of sidecars, utilization, and the mean work and calls of requests
+	randSourceArrivals              // arrivals of requests, and the behaviour that all clients have in common
+	randSourceFaults                // faults of nodes, sidecars, discovery and demand
+	randSourceTenants               // quotas and demand of tenants
+	randSourceJobs                  // work and client's behaviour of one request, with the seed of the request's Arrival
+	randSourceLinkFaults            // faults of the links between sidecars
 )
 
-// newRand returns a source of random numbers for one part of a plan. The parameter source is the part, such as sourceNodes.
+// newRand returns a source of random numbers for one part of a plan. The parameter source is the part, such as randSourceNodes.
 func newRand(seed uint64, source uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, source)) }
 
 // NewPlan draws the plan of a day. It returns an error, which names the day, if the day has too many requests or calls.
-func NewPlan(d *Day, seed uint64, demand float64) (*Plan, error) {
-	p := &Plan{Day: d, Seed: seed, DemandFactor: demand}
-	rng := newRand(seed, sourceNodes)
+func NewPlan(d *Day, seed uint64, demandFactor float64) (*Plan, error) {
+	p := &Plan{Day: d, Seed: seed, DemandFactor: demandFactor}
+	rng := newRand(seed, randSourceNodes)
 	for _, c := range d.Classes {
-		p.Classes = append(p.Classes, fake.Class{Name: c.Name, Effect: effectsByName[c.Effect], Window: c.Window,
+		p.Classes = append(p.Classes, fake.Class{Name: c.Name, Effect: effectsByName[c.Effect], Window: c.DeduplicationWindow,
 			Deadline: c.Deadline})
 	}
 	work := p.drawClassWork(rng)
@@ -79,7 +79,7 @@
 	p.drawNodes(rng)
 	p.SidecarCount = int(drawInteger(d.Sidecars.Count, rng))
 	p.computeCapacity(work)
-	p.Rate = p.Capacity * d.Load.Utilization.At(rng.Float64()) * demand
+	p.Rate = p.Capacity * d.Load.Utilization.At(rng.Float64()) * demandFactor
 	tenantWeights := p.drawTenants()
 	p.drawFaults()
 	p.drawLinkFaults()
--- a/internal/testkit/rehearse/plan_faults.go
+++ b/internal/testkit/rehearse/plan_faults.go
@@ -13,14 +13,14 @@
 	Duration  time.Duration `json:"For"` // time for which the fault is active
 	Tier      int           // index of the tier whose nodes are hit
 	Targets   []string      // IDs of the nodes or names of the sidecars that are hit
-	Magnitude float64       `json:"Size"` // strength of the fault; see faultKinds
+	Magnitude float64       `json:"Size"` // strength of the fault, whose unit depends on its kind; see faultKinds
 	Mode      string        `json:"How"`  // variant of the kind; see faultModes
 	Downtime  time.Duration `json:"Down"` // time until a restarted sidecar or a drained node is started again
 }
 
-// drawFaults draws the faults of nodes, sidecars, discovery and demand.
+// drawFaults draws the plan's faults of nodes, sidecars, discovery and demand at random from the ranges in Day.Faults.
 func (p *Plan) drawFaults() {
-	rng := newRand(p.Seed, sourceFaults)
+	rng := newRand(p.Seed, randSourceFaults)
 	for _, spec := range p.Day.Faults {
 		fault := Fault{
 			Kind:      spec.Kind,
--- a/internal/testkit/rehearse/plan_nodes.go
+++ b/internal/testkit/rehearse/plan_nodes.go
@@ -29,7 +29,7 @@
 			IdleTimeout:        tier.IdleTimeout.At(rng.Float64()),
 			ErrorRate:          tier.ErrorRate.At(rng.Float64()),
 		}
-		n := int(drawInteger(tier.Nodes, rng))
+		n := int(drawInteger(tier.NodeCount, rng))
 		for j, kind := range assignKinds(proportions, n) {
 			node := NodePlan{Seed: rng.Uint64(), Spec: sharedSpec}
 			node.Spec.ID = fmt.Sprintf("%s-%d", tier.Name, j+1)
--- a/internal/testkit/rehearse/plan_requests.go
+++ b/internal/testkit/rehearse/plan_requests.go
@@ -50,7 +50,7 @@
 
 // drawTenants draws the quota of each tenant, and returns the relative number of requests of each tenant.
 func (p *Plan) drawTenants() (tenantWeights []float64) {
-	rng := newRand(p.Seed, sourceTenants)
+	rng := newRand(p.Seed, randSourceTenants)
 	totalProportion := 0.0
 	for _, t := range p.Day.Tenants {
 		totalProportion += t.Proportion
@@ -65,7 +65,7 @@
 
 // drawRequests draws all requests of the day. An error means that there are too many requests or calls; see drawArrivals.
 func (p *Plan) drawRequests(work []classWork, tenantWeights []float64) error {
-	rng := newRand(p.Seed, sourceArrivals)
+	rng := newRand(p.Seed, randSourceArrivals)
 	arrivals, err := p.drawArrivals(rng, tenantWeights)
 	if err != nil {
 		return err
@@ -101,7 +101,8 @@
 	if err != nil {
 		return nil, err
 	}
-	callsInAllTiers, callsInTier := 0.0, 1.0 // mean numbers of calls, in all tiers so far and in the latest of them, that a request of a client causes
+	callsInAllTiers := 0.0 // mean number of calls that a client's request causes in the tiers added so far
+	callsInTier := 1.0     // mean number of calls that a client's request causes in the tier that was added last
 	for _, n := range p.callsPerRequest {
 		callsInTier *= n
 		callsInAllTiers += callsInTier
@@ -112,13 +113,14 @@
 	return arrivals, nil
 }
 
-// clientBehaviour holds values that are drawn once for all clients of the day. The fields of Day.Clients are their ranges.
+// clientBehaviour holds values that are drawn once for all clients of the day, each from the range in the field of Day.Clients with
+// the same name.
 type clientBehaviour struct {
 	maxRetries               int
 	attemptTimeoutFraction   float64
 	backoff                  time.Duration
 	honourRetryAfterFraction float64
-	earlyLeaveFraction       float64
+	earlyDisconnectFraction  float64
 }
 
 // drawClientBehaviour draws the behaviour of the clients. A change of the order of its draws changes the plan of a seed.
@@ -128,14 +130,14 @@
 	b.attemptTimeoutFraction = clients.AttemptTimeoutFraction.At(rng.Float64())
 	b.backoff = clients.Backoff.At(rng.Float64())
 	b.honourRetryAfterFraction = clients.HonourRetryAfterFraction.At(rng.Float64())
-	b.earlyLeaveFraction = clients.EarlyLeaveFraction.At(rng.Float64())
+	b.earlyDisconnectFraction = clients.EarlyDisconnectFraction.At(rng.Float64())
 	return b
 }
 
 // drawRequest draws the request of an arrival, from a source of random numbers whose seed is Arrival.Seed. It does not set
 // Request.Value and Request.IsOverQuota.
 func (p *Plan) drawRequest(a schedule.Arrival, mean classWork, b clientBehaviour) Request {
-	rng := newRand(a.Seed, sourceJobs)
+	rng := newRand(a.Seed, randSourceJobs)
 	deadline := p.Day.Classes[a.Class].Deadline
 	request := Request{Arrival: a, MaxRetries: b.maxRetries, AttemptTimeout: time.Duration(b.attemptTimeoutFraction * float64(deadline))}
 	request.Job = p.drawJob(rng, a.Class, 0, mean)
@@ -144,8 +146,8 @@
 		request.Backoff = b.backoff
 	}
 	request.HonoursRetryAfter = rng.Float64() < b.honourRetryAfterFraction
-	if rng.Float64() < b.earlyLeaveFraction {
-		request.LeaveAfter = time.Duration(rng.Float64() * float64(request.AttemptTimeout))
+	if rng.Float64() < b.earlyDisconnectFraction {
+		request.DisconnectAfter = time.Duration(rng.Float64() * float64(request.AttemptTimeout))
 	}
 	return request
 }
@@ -180,10 +182,10 @@
 
 // drawJob draws the work of one call to a tier, and recursively the jobs of its calls to the next tier.
 func (p *Plan) drawJob(rng *rand.Rand, class, tier int, mean classWork) *fake.Job {
-	fraction := p.Day.Tiers[tier].WorkFraction
+	workFraction := p.Day.Tiers[tier].WorkFraction
 	job := &fake.Job{
-		Work: time.Duration(float64(mean.work) * fraction * lognormal(rng, p.Day.Classes[class].WorkVariation)),
-		Wait: time.Duration(float64(mean.wait) * fraction),
+		Work: time.Duration(float64(mean.work) * workFraction * lognormal(rng, p.Day.Classes[class].WorkVariation)),
+		Wait: time.Duration(float64(mean.wait) * workFraction),
 	}
 	if tier+1 < len(p.Day.Tiers) {
 		calls := p.callsPerRequest[tier+1]
--- a/internal/testkit/rehearse/plan_test.go
+++ b/internal/testkit/rehearse/plan_test.go
@@ -66,8 +66,8 @@
 			}
 		}
 		for i, tier := range d.Tiers {
-			if float64(nodesInTier[i]) < tier.Nodes.Lo || float64(nodesInTier[i]) > tier.Nodes.Hi {
-				t.Fatalf("tier %s has %d nodes, want %v to %v", tier.Name, nodesInTier[i], tier.Nodes.Lo, tier.Nodes.Hi)
+			if float64(nodesInTier[i]) < tier.NodeCount.Lo || float64(nodesInTier[i]) > tier.NodeCount.Hi {
+				t.Fatalf("tier %s has %d nodes, want %v to %v", tier.Name, nodesInTier[i], tier.NodeCount.Lo, tier.NodeCount.Hi)
 			}
 		}
 		if utilization := p.Rate / p.Capacity; utilization < d.Load.Utilization.Lo-1e-9 || utilization > d.Load.Utilization.Hi+1e-9 {
--- a/internal/testkit/rehearse/result.go
+++ b/internal/testkit/rehearse/result.go
@@ -59,7 +59,7 @@
 type Penalties struct {
 	Connections  float64 `json:"connections"` // 8 points times the connections opened to nodes per client request
 	Waste        float64 `json:"waste"`       // 4 points times the work that nodes wasted, relative to the work of all client requests
-	LateFailures float64 `json:"late_fails"`  // 3 points times the fraction of value whose requests failed after their latency objective
+	LateFailures float64 `json:"late_fails"`  // 3 points times the value of the requests that failed after their latency objective, relative to the value of all requests
 	Overload     float64 `json:"choked"`      // 6 points times the fraction of nodes that overload slowed
 }
 
@@ -96,7 +96,7 @@
 	SendLatenessP99    float64 `json:"late_p99_s"`          // 99th percentile of the time from when a request was due until it was sent
 	SendLatenessMax    float64 `json:"late_most_s"`         // longest time from when a request was due until it was sent
 	TimerLatenessP99   float64 `json:"timer_p99_s"`         // 99th percentile of the lateness of a timer in the rehearsal's process
-	Stalls             int     `json:"stalls"`              // number of stalls of the rehearsal's process that were at least as long as the tolerance of the rules
+	Stalls             int     `json:"stalls"`              // number of stalls of the rehearsal's process that lasted at least Day.Rules.Tolerance
 	LongestStall       float64 `json:"worst_stall_s"`       // greatest lateness of a timer in the rehearsal's process
 	CPUSeconds         float64 `json:"cpu_s"`               // CPU time of the rehearsal's process
 	SidecarsCPUSeconds float64 `json:"sidecars_cpu_s"`      // CPU time of all sidecars together
--- a/internal/testkit/rehearse/result_charts.go
+++ b/internal/testkit/rehearse/result_charts.go
@@ -64,10 +64,10 @@
 // faultChart draws a row for each fault, with a bar over the time of the fault.
 func faultChart(r *Result) template.HTML {
 	const rowHeight = 20.0
-	c := newChart(chartTop+rowHeight*float64(max(len(r.Faults), 1))+chartBottom, float64(len(r.BySecond)), 1)
+	c := newChart(marginTop+rowHeight*float64(max(len(r.Faults), 1))+marginBottom, float64(len(r.BySecond)), 1)
 	for i, fault := range r.Faults {
 		x, end := c.x(fault.Start.Seconds()), c.x((fault.Start + fault.Duration).Seconds())
-		y := chartTop + rowHeight*float64(i)
+		y := marginTop + rowHeight*float64(i)
 		label := fault.Kind
 		if fault.Magnitude > 0 {
 			label += fmt.Sprintf(" ×%.2g", fault.Magnitude)
@@ -91,17 +91,17 @@
 // inFlightChart draws a row for each node. The more requests are in flight at the node, the darker is the row.
 func inFlightChart(r *Result) template.HTML {
 	const rowHeight = 9.0
-	c := newChart(chartTop+rowHeight*float64(max(len(r.Nodes), 1))+chartBottom, float64(len(r.BySecond)), 1)
+	c := newChart(marginTop+rowHeight*float64(max(len(r.Nodes), 1))+marginBottom, float64(len(r.BySecond)), 1)
 	samplesPerSecond := int(time.Second / sampleInterval)
 	seconds := min(len(r.InFlight)/samplesPerSecond, len(r.BySecond))
-	highest := 1
+	mostInFlight := 1
 	for _, sample := range r.InFlight {
 		for _, n := range sample {
-			highest = max(highest, n)
+			mostInFlight = max(mostInFlight, n)
 		}
 	}
 	for node, name := range r.Nodes {
-		y := chartTop + rowHeight*float64(node)
+		y := marginTop + rowHeight*float64(node)
 		if node == 0 || tierName(name) != tierName(r.Nodes[node-1]) {
 			fmt.Fprintf(&c.Builder, `<text class="tick" x="2" y="%.1f">%s</text>`, y+rowHeight-1, html.EscapeString(tierName(name)))
 		}
@@ -114,7 +114,7 @@
 				continue
 			}
 			x, end := c.x(float64(s)), c.x(float64(s+1))
-			opacity := 0.08 + 0.92*math.Sqrt(float64(n)/float64(highest))
+			opacity := 0.08 + 0.92*math.Sqrt(float64(n)/float64(mostInFlight))
 			fmt.Fprintf(&c.Builder, `<rect class="hand" opacity="%.2f" x="%.1f" width="%.2f" y="%.1f" height="%.1f">`+
 				`<title>%s, %d s: %d in hand</title></rect>`, opacity, x, end-x, y, rowHeight-1, html.EscapeString(name), s, n)
 		}
--- a/internal/testkit/rehearse/run.go
+++ b/internal/testkit/rehearse/run.go
@@ -65,7 +65,7 @@
 	sendLateness *schedule.LatencyHistogram // time from when requests were due until they were sent
 
 	mu  sync.Mutex
-	err error // first error that made the run fail; nil: none has
+	err error // first error that made the run fail; nil: the run has not failed
 }
 
 // Run runs a plan. When it returns, every process and goroutine that it started has ended. An error means that the day could not
@@ -189,15 +189,15 @@
 // run sends the requests of the plan when they are due, injects its faults, and returns the measured result. usageBefore is the use
 // of resources before the run, which the result does not include.
 func (r *rehearsal) run(usageBefore resources) (*Result, error) {
-	start := time.Now()
+	dayStartedAt := time.Now()
 	dayStart := r.recorder.Now()
-	monitor := &monitor{rehearsal: r, startedAt: start, timerLateness: schedule.NewLatencyHistogram()}
+	monitor := &monitor{rehearsal: r, startedAt: dayStartedAt, timerLateness: schedule.NewLatencyHistogram()}
 	done := make(chan struct{})
 	var monitoring sync.WaitGroup
 	monitoring.Go(func() { monitor.sampleInFlight(done) })
 	monitoring.Go(func() { monitor.watchStalls(done) })
-	endFaults := r.startFaults(start, done)
-	r.sendRequests(start)
+	endFaults := r.startFaults(dayStartedAt, done)
+	r.sendRequests(dayStartedAt)
 	cancelStop := context.AfterFunc(r.ctx, func() { // after an interrupt, sidecars are stopped, so that the wait for responses ends
 		for _, p := range r.sidecars {
 			p.stop()
@@ -222,17 +222,17 @@
 	return r.newResult(monitor, dayStart, end, usageBefore), nil
 }
 
-// startFaults starts a goroutine for each fault, and the pollers of the cluster, which stop when done closes. The function that it
-// returns ends all faults and waits for their goroutines.
-func (r *rehearsal) startFaults(start time.Time, done <-chan struct{}) (end func()) {
+// startFaults starts a goroutine for each fault, and the goroutines of startAdminClients, which stop when done closes. The function
+// that it returns ends all faults and waits for the goroutines of the faults.
+func (r *rehearsal) startFaults(dayStartedAt time.Time, done <-chan struct{}) (end func()) {
 	var faults sync.WaitGroup
 	ctx, cancel := context.WithCancel(r.ctx)
 	for _, fault := range r.plan.Faults {
-		faults.Go(func() { r.inject(ctx, start, fault) })
+		faults.Go(func() { r.inject(ctx, dayStartedAt, fault) })
 	}
-	r.cluster.startPollers(done)
+	r.cluster.startAdminClients(done)
 	for _, fault := range r.plan.LinkFaults {
-		faults.Go(func() { r.cluster.inject(ctx, start, fault) })
+		faults.Go(func() { r.cluster.inject(ctx, dayStartedAt, fault) })
 	}
 	return func() {
 		cancel()
@@ -242,12 +242,12 @@
 
 // sendRequests starts a goroutine for each request when it is due. It returns after the last request was started, or when the
 // rehearsal's context ends.
-func (r *rehearsal) sendRequests(start time.Time) {
+func (r *rehearsal) sendRequests(dayStartedAt time.Time) {
 	arrivals := make([]schedule.Arrival, len(r.plan.Requests))
 	for i, request := range r.plan.Requests {
 		arrivals[i] = request.Arrival
 	}
-	schedule.Dispatch(start, arrivals, r.ctx.Done(), func(i int, dueAt time.Time) {
+	schedule.Dispatch(dayStartedAt, arrivals, r.ctx.Done(), func(i int, dueAt time.Time) {
 		r.sendLateness.Record(time.Since(dueAt))
 		r.requests.Add(1)
 		r.inFlight.Add(1)
--- a/internal/testkit/rehearse/sidecar_process.go
+++ b/internal/testkit/rehearse/sidecar_process.go
@@ -29,18 +29,18 @@
 // sidecarProcess is a sidecar that runs as a real process, which can be ended and started again with the same name and address.
 // Its methods are safe for concurrent use. While the process runs, a goroutine waits for its exit.
 type sidecarProcess struct {
-	name          string
-	addr          string      // address at which the sidecar listens for clients
-	agent         *fake.Agent // discovery agent that serves only this sidecar
-	recorder      *fake.Recorder
-	workDir       string                   // directory of the configuration and the log
-	command       func() *exec.Cmd         // returns a command that runs one sidecar
-	settings      json.RawMessage          // settings object of the platform's configuration
-	operatorsFile func(seed uint64) string // text of the operators' file; nil: the platform's configuration is used
-	env           []string                 // environment variables (NAME=VALUE) that the process gets in addition to those of the rehearsal
-	day           *Day
-	nextSeed      func() uint64         // returns the seed of the next incarnation; called with mu held
-	onCrash       func(*sidecarProcess) // called after the process has exited without a signal from the rehearsal
+	name           string
+	addr           string      // address at which the sidecar listens for clients
+	agent          *fake.Agent // discovery agent that serves only this sidecar
+	recorder       *fake.Recorder
+	workDir        string                   // directory of the configuration and the log
+	newBaseCommand func() *exec.Cmd         // returns a command that runs one sidecar, without its configuration
+	settings       json.RawMessage          // settings object of the platform's configuration
+	operatorsFile  func(seed uint64) string // text of the operators' file; nil: the platform's configuration is used
+	env            []string                 // environment variables (NAME=VALUE) that the process gets in addition to those of the rehearsal
+	day            *Day
+	nextSeed       func() uint64         // returns the seed of the next incarnation; called with mu held
+	onCrash        func(*sidecarProcess) // called after the process has exited without a signal from the rehearsal
 
 	mu             sync.Mutex
 	cmd            *exec.Cmd     // command of the running process; nil: no process runs
@@ -70,7 +70,7 @@
 	return json.Marshal(map[string]any{
 		"name": p.name, "listen": p.addr, "discovery": p.agent.Addr, "seed": fmt.Sprintf("%016x", p.nextSeed()),
 		"limits": map[string]any{"cores": p.day.Sidecars.Cores, "memory_mb": p.day.Sidecars.MemoryMB,
-			"sockets": p.day.Sidecars.Sockets},
+			"sockets": p.day.Sidecars.MaxDescriptors},
 		"known":    lastList,
 		"settings": p.settings,
 	})
@@ -78,7 +78,7 @@
 
 // newCommand writes the configuration of the next process and returns its command.
 func (p *sidecarProcess) newCommand(lastList fake.MemberList) (*exec.Cmd, error) {
-	cmd := p.command()
+	cmd := p.newBaseCommand()
 	cmd.Env = append(cmd.Environ(), p.env...)
 	if p.operatorsFile != nil {
 		path := filepath.Join(p.workDir, p.name+".toml")
--- a/internal/testkit/rehearse/sidecars.go
+++ b/internal/testkit/rehearse/sidecars.go
@@ -55,7 +55,7 @@
 	r.pendingUpdates[agent] = updates
 	r.agentUpdaters.Go(func() { r.sendUpdates(agent, updates) })
 	p := &sidecarProcess{name: role.name, agent: agent, recorder: r.recorder, workDir: r.workDir,
-		command: r.options.NewCommand, day: r.plan.Day}
+		newBaseCommand: r.options.NewCommand, day: r.plan.Day}
 	r.sidecars = append(r.sidecars, p) // close stops all sidecars in this list, with their agents
 	if p.addr, err = freeLoopbackAddr(len(r.sidecars)); err != nil {
 		return nil, err
--- a/internal/testkit/rehearse/table.go
+++ b/internal/testkit/rehearse/table.go
@@ -110,7 +110,7 @@
 	return string(rule.Verdict)
 }
 
-// occasionsText lists the kinds of occasions on which an invariant was tested, by name, each with its number.
+// occasionsText lists the kinds of occasions on which an invariant was tested, sorted by name, each with the number of its occasions.
 func occasionsText(rule invariant.RuleResult) string {
 	var out []string
 	for name, n := range rule.Occasions {
@@ -182,21 +182,21 @@
 		demand   float64
 	}
 	var groups []group // each pair of balancer and demand, in the order of the first results
-	serviceByGroup := map[group][]float64{}
+	pointsByGroup := map[group][]float64{}
 	for _, r := range results {
 		g := group{r.Balancer, r.Demand}
-		if serviceByGroup[g] == nil {
+		if pointsByGroup[g] == nil {
 			groups = append(groups, g)
 		}
-		serviceByGroup[g] = append(serviceByGroup[g], r.ServicePoints)
+		pointsByGroup[g] = append(pointsByGroup[g], r.ServicePoints)
 	}
-	if len(serviceByGroup) == len(results) {
+	if len(pointsByGroup) == len(results) {
 		return
 	}
 	var rows strings.Builder
 	fmt.Fprintln(&rows, "\nservice\tdemand\tleast\tmedian\tmost\truns")
 	for _, g := range groups {
-		v := serviceByGroup[g]
+		v := pointsByGroup[g]
 		sort.Float64s(v)
 		median := (v[(len(v)-1)/2] + v[len(v)/2]) / 2
 		fmt.Fprintf(&rows, "%s\t%v\t%.1f\t%.1f\t%.1f\t%d\n", g.balancer, g.demand, v[0], median, v[len(v)-1], len(v))
--- a/internal/testkit/rehearse/validity.go
+++ b/internal/testkit/rehearse/validity.go
@@ -8,11 +8,11 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// Bounds of the lateness of the rehearsal itself, beyond which a run is not valid. By default, the rules tolerate 50 ms on each
-// limit: sends that are later than half of this tolerance, or a stall as long as the drain grace, could be mistaken for a fault
-// of a sidecar.
+// Bounds of the lateness of the rehearsal itself, beyond which a run is not valid. Events may exceed the time limits of the
+// invariants by Day.Rules.Tolerance, which is 50 ms by default. Requests sent late by more than half of this time, or a stall of
+// the rehearsal as long as the drain grace, could be mistaken for a fault of a sidecar.
 const (
-	maxSendLatenessFraction = 0.5         // fraction of the rules' tolerance that the lateness of 99 of 100 sends must not exceed
+	maxSendLatenessFraction = 0.5         // fraction of Day.Rules.Tolerance that the lateness of 99 of 100 requests sent must not exceed
 	maxStallFraction        = 1.0         // fraction of the drain grace that the length of a stall must not exceed
 	stallProximity          = time.Second // time before or after a stall of the rehearsal in which the stall may have caused a violation
 )
