--- a/internal/testkit/clusterinvariant/membership.go
+++ b/internal/testkit/clusterinvariant/membership.go
@@ -59,7 +59,7 @@
 
 // Limits are the time limits of the rules, and the end of the timeline.
 type Limits struct {
-	DetectWithin time.Duration // time after the end of a daemon's process by which all other daemons must have detected the end, if no other fault is active
+	DetectWithin time.Duration // time after the end of a daemon's process by which all other daemons must have detected the end; not checked if a fault of links or processes is active in this time
 	SettleWithin time.Duration // time after the last fault, start or end of a daemon by which each view must show exactly the running daemons as present
 	End          time.Duration // instant at which the timeline ends
 }
@@ -75,7 +75,7 @@
 type Verdict struct {
 	Violations         []Violation
 	TestedOccasions    map[Rule]int  // number of occasions on which each rule was tested; a rule without an entry was not tested
-	SlowestDetection   time.Duration // longest time from the end of a daemon's process until another daemon detected the end, while no other fault was active
+	SlowestDetection   time.Duration // longest time from the end of a daemon's process until another daemon detected the end, if no fault of links or processes was active in this time
 	SlowestConvergence time.Duration // longest time from a start or end of a daemon, or from the end of the faults, until all views showed the running daemons as present and ended ones as not present
 }
 
@@ -238,11 +238,11 @@
 			continue
 		}
 		for _, subject := range names {
-			seen, known := c.views[observer][subject]
+			latest, known := c.views[observer][subject]
 			if !known {
-				seen.state = unknownState
+				latest.state = unknownState
 			}
-			c.checkView(now, observer, subject, seen.state)
+			c.checkView(now, observer, subject, latest.state)
 		}
 	}
 }
--- a/internal/testkit/clusterinvariant/membership_test.go
+++ b/internal/testkit/clusterinvariant/membership_test.go
@@ -28,15 +28,16 @@
 	return events
 }
 
-// CheckVersions finds the one rule that the reports of a case break, or none. Each case appends its reports to those of two daemons that
-// act on version 1, and maxContradiction is 2 s.
+// The first violation that CheckVersions finds is of the rule that the reports of a case break; if they break none, CheckVersions finds no
+// violation. Each case appends its reports to those of two daemons that act on version 1. A daemon may act on a version for 2 s after
+// another daemon has begun to act on a later one.
 func TestCheckVersionsFindsBrokenRules(t *testing.T) {
 	report := func(at time.Duration, daemon string, version uint64, digest string) VersionReport {
 		return VersionReport{RequestedAt: at - second/10, ReportedAt: at, Daemon: daemon, Version: version, Digest: digest}
 	}
 	for name, c := range map[string]struct {
-		reports []VersionReport
-		broken  Rule // rule that the reports break; empty: no rule
+		reports    []VersionReport
+		brokenRule Rule // rule that the reports break; empty: no rule
 	}{
 		"one daemon follows the other in time":                                      {[]VersionReport{report(2*second, "a", 2, "y"), report(3*second, "b", 1, "x"), report(4*second, "b", 2, "y")}, ""},
 		"an earlier version is used for too long":                                   {[]VersionReport{report(2*second, "a", 2, "y"), report(5*second, "b", 1, "x")}, NoContradiction},
@@ -46,19 +47,19 @@
 		"a new process starts with an earlier version and uses it within the time":  {[]VersionReport{report(2*second, "a", 2, "y"), {RequestedAt: 3 * second, ReportedAt: 3 * second, Daemon: "a", Incarnation: 1, Version: 1, Digest: "x"}}, ""},
 	} {
 		v := CheckVersions(append([]VersionReport{report(second, "a", 1, "x"), report(second, "b", 1, "x")}, c.reports...), 2*second)
-		if (len(v.Violations) > 0) != (c.broken != "") || c.broken != "" && v.Violations[0].Rule != c.broken {
-			t.Errorf("%s: got violations %+v, want the first of rule %q, or none if the rule is empty", name, v.Violations, c.broken)
+		if (len(v.Violations) > 0) != (c.brokenRule != "") || c.brokenRule != "" && v.Violations[0].Rule != c.brokenRule {
+			t.Errorf("%s: got violations %+v, want the first of rule %q, or none if the rule is empty", name, v.Violations, c.brokenRule)
 		}
 	}
 }
 
-// CheckMembership finds the one rule that the timeline of a case breaks, or none. Each case appends its events to those of a converged
-// cluster of three daemons.
+// CheckMembership finds a violation of the rule that the timeline of a case breaks; if the timeline breaks none, CheckMembership finds no
+// violation. Each case appends its events to those of a converged cluster of three daemons.
 func TestCheckMembershipFindsBrokenRules(t *testing.T) {
 	for name, c := range map[string]struct {
-		events []Event
-		broken Rule // rule that the timeline breaks; empty: no rule
-		tested Rule // rule that must be broken or must have been tested on at least one occasion
+		events     []Event
+		brokenRule Rule // rule that the timeline breaks; empty: no rule
+		testedRule Rule // rule that CheckMembership must have tested on at least one occasion; not checked if brokenRule is the same rule
 	}{
 		"no fault":                                        {nil, "", ViewsConverge},
 		"end detected in time":                            {[]Event{fact(20*second, Killed, "c"), observed(22*second, "a", "c", "failed", 1), observed(23*second, "b", "c", "failed", 1)}, "", FailureDetected},
@@ -80,11 +81,11 @@
 		for _, violation := range v.Violations {
 			violated[violation.Rule] = true
 		}
-		if len(violated) > 1 && c.broken == "" || len(v.Violations) > 0 != (c.broken != "") || c.broken != "" && !violated[c.broken] {
-			t.Errorf("%s: got violations %+v, want some of rule %q, or none if the rule is empty", name, v.Violations, c.broken)
+		if len(violated) > 1 && c.brokenRule == "" || len(v.Violations) > 0 != (c.brokenRule != "") || c.brokenRule != "" && !violated[c.brokenRule] {
+			t.Errorf("%s: got violations %+v, want some of rule %q, or none if the rule is empty", name, v.Violations, c.brokenRule)
 		}
-		if c.tested != c.broken && v.TestedOccasions[c.tested] == 0 {
-			t.Errorf("%s: rule %q was not tested", name, c.tested)
+		if c.testedRule != c.brokenRule && v.TestedOccasions[c.testedRule] == 0 {
+			t.Errorf("%s: rule %q was not tested", name, c.testedRule)
 		}
 	}
 }
--- a/internal/testkit/clusterinvariant/versions.go
+++ b/internal/testkit/clusterinvariant/versions.go
@@ -17,8 +17,8 @@
 // VersionRules lists the rules that CheckVersions checks, in the order in which they are reported.
 var VersionRules = []Rule{NoContradiction, VersionsConsistent}
 
-// VersionReport is a daemon's response that it acts on a version, under a lease. The daemon acted on the version at some instant
-// from RequestedAt to ReportedAt.
+// VersionReport is a daemon's response to a poll, in which the daemon reports that it acts on a version under a lease. The daemon acted
+// on the version at some instant from RequestedAt to ReportedAt.
 type VersionReport struct {
 	RequestedAt time.Duration
 	ReportedAt  time.Duration
@@ -60,7 +60,7 @@
 		p := process{report.Daemon, report.Incarnation}
 		if previous := latest[p]; report.Version >= previous.version {
 			latest[p] = latestReport{report.Version, report.ReportedAt}
-		} else if report.RequestedAt > previous.reportedAt { // otherwise the two polls of the process overlapped, and it may have sent this response before the previous one
+		} else if report.RequestedAt > previous.reportedAt { // if the polls of both reports overlapped, the process may have sent this response before the previous one
 			verdict.Violations = append(verdict.Violations, Violation{VersionsConsistent, report.ReportedAt, fmt.Sprintf("%s goes back from version %d to %d", report.Daemon, previous.version, report.Version)})
 		}
 		if digest, ok := digests[report.Version]; ok && digest != report.Digest {
--- a/internal/testkit/faultnet/faultnet.go
+++ b/internal/testkit/faultnet/faultnet.go
@@ -44,20 +44,20 @@
 	stop       context.CancelFunc
 	goroutines sync.WaitGroup
 
-	mu           sync.Mutex // guards rng and all fields after it
-	rng          *rand.Rand
-	links        map[linkKey]Link         // links that were set since the latest Heal; all others have no faults
-	processNames map[netip.Addr]string    // name of the process that sends from each IP address
-	conns        map[net.Conn]linkKey     // open TCP connections of all relays; the value is the link from the client's process to the server's process
-	delayedCount int                      // number of datagrams that are delayed now, at most maxDelayedDatagrams
-	onLinkChange func(description string) // called with mu held at each change of a link; never nil
+	mu               sync.Mutex // guards rng and all fields after it
+	rng              *rand.Rand
+	links            map[linkKey]Link         // links that were set since the latest Heal; all others have no faults
+	processNames     map[netip.Addr]string    // name of the process that sends from each IP address
+	conns            map[net.Conn]linkKey     // open TCP connections of all relays; the value is the link from the client's process to the server's process
+	delayedDatagrams int                      // number of datagrams that are delayed now, at most maxDelayedDatagrams
+	onLinkChange     func(description string) // called with mu held at each change of a link; never nil
 }
 
 // linkKey identifies a link by the names of the sending and the receiving process.
 type linkKey struct{ from, to string }
 
-// randStream is the second half of the random generator's seed, so that the faults differ from other random numbers that are drawn with
-// the same seed.
+// randStream is the second half of the seed of a Network's random generator. Another generator whose seed has the same first half thus
+// draws other numbers.
 const randStream = 2
 
 // New returns a Network without relays. Random faults are drawn from the seed. onLinkChange, which may be nil, is called with
@@ -215,15 +215,15 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.delayedCount >= maxDelayedDatagrams {
+	if n.delayedDatagrams >= maxDelayedDatagrams {
 		return
 	}
-	n.delayedCount++
+	n.delayedDatagrams++
 	time.AfterFunc(delay, func() {
 		_, _ = udp.WriteToUDPAddrPort(b, to)
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.delayedCount--
+		n.delayedDatagrams--
 	})
 }
 
--- a/internal/testkit/faultnet/faultnet_test.go
+++ b/internal/testkit/faultnet/faultnet_test.go
@@ -56,11 +56,11 @@
 	}()
 	// An end marker is sent from an address that no link is set for, through the same socket of the relay. When it arrives, every
 	// datagram that was sent before it without a delay has been delivered or dropped.
-	marker, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(relayToB))
+	markerConn, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(relayToB))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer marker.Close()
+	defer markerConn.Close()
 	// sendAndCount sends datagrams from a to b over a link and returns how many are delivered. It waits for minDelivered of them
 	// before it sends the end marker, since the marker overtakes delayed datagrams.
 	sendAndCount := func(l Link, count, minDelivered int) (delivered int) {
@@ -74,7 +74,7 @@
 		for ; delivered < minDelivered; delivered++ {
 			<-received
 		}
-		marker.Write([]byte("end"))
+		markerConn.Write([]byte("end"))
 		for text := <-received; text != "end"; text = <-received {
 			delivered++
 		}
--- a/internal/testkit/fleetsim/day.go
+++ b/internal/testkit/fleetsim/day.go
@@ -73,12 +73,12 @@
 	fraction         float64       // fraction of clients' requests that belong to the class
 	work             float64       // mean CPU time of a request in all tiers, in seconds of a core of speed 1
 	latencyObjective time.Duration // time after the start of a request within which its response counts as in time
-	deadline         time.Duration // time from a client's first attempt to send a request until the request's deadline
+	timeout          time.Duration // time from a client's first attempt to send a request, or from an endpoint's call to the next tier, until the deadline
 	weight           float64       // priority weight, which is the value of one request
 }
 
-// classes are the request classes of every simulation. Their figures are from the middle of the ranges in the requirements of the
-// default site.
+// classes are the request classes of every simulation: those of one installation, the default site, whose requirements give ranges for the
+// figures. The figures here are from the middle of these ranges.
 var classes = []class{
 	{"item-lookup", false, 0.75, 0.10, 2 * time.Second, 5 * time.Second, 5},
 	{"bag-dispatch", true, 0.25, 0.31, 2500 * time.Millisecond, 6 * time.Second, 3},
@@ -87,9 +87,9 @@
 // tiers are the tiers of endpoints. Front sidecars, which receive the clients' requests, send to the first tier, and each tier calls the
 // next one.
 var tiers = []struct {
-	workFraction float64 // mean work of each request to the tier, as a fraction of class.work
-	relativeSize float64 // number of endpoints of the tier, relative to the first tier
-	calls        int     // number of requests that an endpoint sends to the next tier, one after another, for each request that it serves
+	workFraction    float64 // mean work of each request to the tier, as a fraction of class.work
+	relativeSize    float64 // number of endpoints of the tier, relative to the first tier
+	callsPerRequest int     // number of requests that an endpoint sends to the next tier, one after another, for each request that it serves
 }{{0.39, 1, 2}, {0.33, 2, 1}, {0.28, 1.55, 0}}
 
 // Package invariant checks the simulated sidecars and endpoints with these limits and tolerances.
@@ -98,17 +98,17 @@
 	maxAttempts       = 4                      // highest number of attempts that a sidecar may send for one request
 	overloadTolerance = 0.25                   // fraction by which the work of a warming endpoint may exceed the overload limit, since work varies at random
 	drainGrace        = 500 * time.Millisecond // time for which a sidecar may go on sending requests to an endpoint after a notification that the endpoint is draining
-	timeTolerance     = 50 * time.Millisecond  // tolerance that the check adds to each time limit
+	timeTolerance     = 50 * time.Millisecond  // tolerance that the check of the invariants adds to each time limit
 )
 
 // These constants describe the topology and each endpoint.
 const (
-	cellSize              = 4       // number of endpoints in a cell, each of which drops duplicates of requests that any of them received
+	cellSize              = 4       // number of endpoints in a cell; each of these endpoints drops duplicates of requests that the cell has received
 	zoneCount             = 3       // number of zones over which each tier is spread
 	frontFraction         = 1.0 / 6 // fraction of the sidecars that receive requests from clients
 	coresPerEndpoint      = 2
 	maxConcurrentRequests = 24 // highest number of requests that an endpoint works on at the same time
-	maxQueued             = 12 // highest number of requests that wait at an endpoint, in addition to maxConcurrentRequests; further ones are rejected
+	maxQueuedRequests     = 12 // highest number of requests that wait at an endpoint, in addition to maxConcurrentRequests; further ones are rejected
 )
 
 // The network and discovery have these delays and limits.
@@ -120,7 +120,7 @@
 	meanListDelay  = 800 * time.Millisecond  // mean time until a sidecar receives a change of the endpoint list
 )
 
-// These constants set the behaviour of the clients, and the time limits of responses to them.
+// These constants set the behaviour of the clients, and the time limits of the responses that clients get.
 const (
 	loadSkew         = 3.0                    // relative loads of front sidecars range from 1/loadSkew to loadSkew
 	clientRetryDelay = 100 * time.Millisecond // time from a failed response until the client's retry
--- a/internal/testkit/fleetsim/endpoint.go
+++ b/internal/testkit/fleetsim/endpoint.go
@@ -10,27 +10,27 @@
 
 // endpoint is a model of a server that has cores and a queue, and that warms up after a start.
 type endpoint struct {
-	sim             *simulation
-	id              string
-	tier            int
-	cell            int // number of the endpoint's cell, whose endpoints drop duplicates of requests that any of them received
-	zone            int
-	kind            string              // kind of machine, as discovery reports it
-	speed           float64             // speed of each core; work is given in seconds of a core of speed 1
-	slowdown        float64             // factor by which a fault makes work take longer; 1 without a fault
-	startedAt       time.Duration       // virtual time of the latest start; 0: before the simulation, so that the endpoint is fully warmed up
-	isUp            bool                // whether the endpoint's process runs
-	isIsolated      bool                // whether messages to and from the endpoint are lost, though its process runs
-	isOverloaded    bool                // whether too much work while warming up has overloaded the endpoint, which then rejects all requests until it restarts
-	incarnation     int                 // number of times that the endpoint's process was killed; a callback with an older number belongs to an earlier process
-	inFlight        int                 // number of requests that the endpoint works on or has queued
-	openConnections int                 // number of open connections from all sidecars
-	busyCores       int                 // number of cores in use, at most coresPerEndpoint
-	cpuQueue        []func(done func()) // tasks that wait for a core, oldest first; see runOnCore
-	recentColdWork  []timedWork         // work received within the latest overload window while the endpoint was warming up
-	ownSidecar      *sidecar            // sidecar through which the endpoint calls the tier below; nil in the last tier
-	listedState     balance.State       // state that discovery lists for the endpoint
-	isGone          bool                // whether the endpoint has been replaced, so that discovery does not list it any more
+	sim              *simulation
+	id               string
+	tier             int
+	cell             int // number of the endpoint's cell; the endpoints of a cell drop duplicates of requests that the cell has received
+	zone             int
+	kind             string              // kind of machine, as discovery reports it
+	speed            float64             // speed of each core; work is given in seconds of a core of speed 1
+	slowdown         float64             // factor by which a fault makes work take longer; 1 without a fault
+	startedAt        time.Duration       // virtual time of the latest start; 0: before the simulation, so that the endpoint is fully warmed up
+	isUp             bool                // whether the endpoint's process runs
+	isIsolated       bool                // whether messages to and from the endpoint are lost, though its process runs
+	isOverloaded     bool                // whether too much work while warming up has overloaded the endpoint, which then rejects all requests until it restarts
+	incarnation      int                 // number of times that the endpoint's process was killed; a callback with an older number belongs to an earlier process
+	inFlightRequests int                 // number of requests that the endpoint works on or has queued
+	openConnections  int                 // number of open connections from all sidecars
+	busyCores        int                 // number of cores in use, at most coresPerEndpoint
+	cpuQueue         []func(done func()) // tasks that wait for a core, oldest first; see runOnCore
+	recentColdWork   []timedWork         // work received within the latest overload window while the endpoint was warming up
+	ownSidecar       *sidecar            // sidecar through which the endpoint calls the tier below; nil in the last tier
+	listedState      balance.State       // state that discovery lists for the endpoint
+	isGone           bool                // whether the endpoint has been replaced, so that discovery does not list it any more
 }
 
 // timedWork is the work of one attempt, with the virtual time at which the endpoint received it.
@@ -61,7 +61,7 @@
 
 // addOwnSidecar adds and starts the sidecar of an endpoint, if the endpoint calls a tier below.
 func (sim *simulation) addOwnSidecar(e *endpoint) {
-	if tiers[e.tier].calls == 0 {
+	if tiers[e.tier].callsPerRequest == 0 {
 		return
 	}
 	index := 0
@@ -90,7 +90,7 @@
 	}
 	e.isUp = false
 	e.incarnation++
-	e.inFlight, e.busyCores, e.openConnections, e.cpuQueue, e.recentColdWork = 0, 0, 0, nil, nil
+	e.inFlightRequests, e.busyCores, e.openConnections, e.cpuQueue, e.recentColdWork = 0, 0, 0, nil, nil
 	e.sim.record(invariant.Event{Kind: invariant.NodeStopped, Node: e.id})
 	if e.ownSidecar != nil {
 		e.ownSidecar.kill()
@@ -122,15 +122,15 @@
 			onResult(result)
 		}
 	}
-	if e.isOverloaded || e.inFlight >= maxConcurrentRequests+maxQueued {
+	if e.isOverloaded || e.inFlightRequests >= maxConcurrentRequests+maxQueuedRequests {
 		respond(balance.Rejected, invariant.AttemptRejected)
 		return
 	}
-	e.inFlight++
-	isDuplicate := e.isDuplicate(key)
+	e.inFlightRequests++
+	isDuplicate := e.recordKey(key)
 	finish := func(result balance.Result) {
 		if e.incarnation == incarnation {
-			e.inFlight--
+			e.inFlightRequests--
 			respond(result, invariant.AttemptCompleted)
 		}
 	}
@@ -148,7 +148,7 @@
 				finish(balance.OK)
 				return
 			}
-			e.callTierBelow(a, key, tiers[e.tier].calls, finish)
+			e.callTierBelow(a, key, tiers[e.tier].callsPerRequest, finish)
 		})
 	})
 }
@@ -162,7 +162,7 @@
 	}
 	sim, incarnation := e.sim, e.incarnation
 	c := classes[a.request.class]
-	e.ownSidecar.accept(a.request.class, fmt.Sprint(key, ".", callsLeft), sim.now+c.deadline, func(status int) {
+	e.ownSidecar.accept(a.request.class, fmt.Sprint(key, ".", callsLeft), sim.now+c.timeout, func(status int) {
 		switch {
 		case e.incarnation != incarnation:
 		case status == 200:
@@ -194,15 +194,15 @@
 	})
 }
 
-// isDuplicate reports whether the endpoint's cell has received a key within the deduplication window, and otherwise stores it. An empty
-// key is never a duplicate.
-func (e *endpoint) isDuplicate(key string) bool {
+// recordKey reports whether the endpoint's cell has received an idempotency key within dedupWindow, and otherwise records the time at
+// which the cell receives the key. An empty key is never a duplicate.
+func (e *endpoint) recordKey(key string) bool {
 	if key == "" {
 		return false
 	}
 	scopedKey := fmt.Sprint(e.tier, " ", e.cell, " ", key)
-	first, seen := e.sim.keysSeen[scopedKey]
-	if seen && e.sim.now <= first+dedupWindow {
+	recordedAt, seen := e.sim.keysSeen[scopedKey]
+	if seen && e.sim.now <= recordedAt+dedupWindow {
 		return true
 	}
 	e.sim.keysSeen[scopedKey] = e.sim.now
--- a/internal/testkit/fleetsim/fleet_test.go
+++ b/internal/testkit/fleetsim/fleet_test.go
@@ -198,7 +198,7 @@
 
 // All sidecars together do not overload an endpoint that is warming up, even if endpoints start at a seventh of their capacity, take 24 s
 // to warm up, and are overloaded by too much work within one second. Meanwhile endpoints are replaced or sidecars restart, and the demand
-// is as high as the full capacity.
+// equals the capacity that the tiers have when all endpoints are warmed up.
 func TestSlowlyWarmingEndpointsAreNotOverloaded(t *testing.T) {
 	for _, scenario := range []string{"roll", "join"} {
 		for seed := range uint64(3) {
--- a/internal/testkit/fleetsim/run.go
+++ b/internal/testkit/fleetsim/run.go
@@ -17,7 +17,7 @@
 
 // Result is the outcome of a simulated day.
 type Result struct {
-	Format            int               `json:"format"`      // version of the format, always 1
+	Format            int               `json:"format"`      // version of the JSON format of Result, always 1
 	Day               string            `json:"day"`         // name of the day's scenario, one of Scenarios
 	Sidecars          int               `json:"sidecars"`    // number of sidecars, as configured in Day.Sidecars
 	Endpoints         int               `json:"endpoints"`   // number of endpoints at the start of the day
@@ -42,11 +42,11 @@
 
 // Amplification returns the attempts that arrived at a tier relative to those needed if nothing was retried or lost.
 func (r *Result) Amplification(tier int) float64 {
-	needed := float64(r.Requests)
+	neededAttempts := float64(r.Requests)
 	for t := range tier {
-		needed *= float64(tiers[t].calls)
+		neededAttempts *= float64(tiers[t].callsPerRequest)
 	}
-	return float64(r.Attempts[tier]) / max(needed, 1)
+	return float64(r.Attempts[tier]) / max(neededAttempts, 1)
 }
 
 // Run simulates a day with balancers of package balance. The same Day always gives exactly the same Result.
@@ -95,23 +95,23 @@
 	for _, c := range classes {
 		work += c.fraction * c.work
 	}
-	rate, callsPerRequest := math.Inf(1), 1.0
+	requestRate, callsPerRequest := math.Inf(1), 1.0
 	for t := range tiers { // the tier whose capacity allows the lowest rate of clients' requests limits the rate
 		capacity := 0.0
 		for _, e := range sim.tiers[t] {
 			capacity += coresPerEndpoint * e.speed
 		}
-		rate = min(rate, capacity/(work*tiers[t].workFraction*callsPerRequest))
-		callsPerRequest *= float64(tiers[t].calls)
+		requestRate = min(requestRate, capacity/(work*tiers[t].workFraction*callsPerRequest))
+		callsPerRequest *= float64(tiers[t].callsPerRequest)
 	}
-	rate *= sim.day.Utilization
-	weights, sum := make([]float64, len(sim.frontSidecars)), 0.0
-	for i := range weights {
-		weights[i] = math.Pow(loadSkew, sim.rng.Float64()*2-1)
-		sum += weights[i]
+	requestRate *= sim.day.Utilization
+	relativeLoads, sum := make([]float64, len(sim.frontSidecars)), 0.0
+	for i := range relativeLoads {
+		relativeLoads[i] = math.Pow(loadSkew, sim.rng.Float64()*2-1)
+		sum += relativeLoads[i]
 	}
 	for i, s := range sim.frontSidecars {
-		sim.scheduleArrivals(s, time.Duration(float64(time.Second)*sum/(rate*weights[i])))
+		sim.scheduleArrivals(s, time.Duration(float64(time.Second)*sum/(requestRate*relativeLoads[i])))
 	}
 }
 
--- a/internal/testkit/fleetsim/sidecar.go
+++ b/internal/testkit/fleetsim/sidecar.go
@@ -38,7 +38,7 @@
 	attempts         []*attempt       // all attempts of the request, in the order in which they were sent
 }
 
-// attempt is an attempt of a request at an endpoint.
+// attempt is one sending of a request to an endpoint.
 type attempt struct {
 	request            *request
 	number             int           // number among the request's attempts, from 0
@@ -211,7 +211,7 @@
 
 // endAttempt reports the outcome of an attempt to the balancer, unless the attempt has already ended or the sidecar
 // was killed after sending the attempt.
-func (s *sidecar) endAttempt(a *attempt, result balance.Result, reused bool) {
+func (s *sidecar) endAttempt(a *attempt, result balance.Result, connectionReused bool) {
 	if !a.isInFlight || a.sidecarIncarnation != s.incarnation || !s.isUp {
 		return
 	}
@@ -223,7 +223,7 @@
 	} else if a.endpoint.openConnections > 0 && result != balance.ConnectFailed {
 		a.endpoint.openConnections--
 	}
-	outcome := balance.Outcome{ID: req.id, Attempt: a.number, Endpoint: a.endpoint.id, Result: result, Latency: s.sim.now - a.sentAt, IsFinal: req.isDone, ReusedConnection: reused}
+	outcome := balance.Outcome{ID: req.id, Attempt: a.number, Endpoint: a.endpoint.id, Result: result, Latency: s.sim.now - a.sentAt, IsFinal: req.isDone, ReusedConnection: connectionReused}
 	if result == balance.OK && !req.isDone {
 		outcome.IsFinal = true
 		s.respond(req, 200)
@@ -268,9 +268,9 @@
 	a := &attempt{request: req, number: len(req.attempts), endpoint: e, sidecarIncarnation: s.incarnation, sentAt: sim.now, isInFlight: true}
 	req.attempts = append(req.attempts, a)
 	s.closeIdleConnections(endpoint)
-	delay, reused := wireDelay, false
+	delay, connectionReused := wireDelay, false
 	if n := len(s.idleSince[endpoint]); n > 0 {
-		s.idleSince[endpoint], reused = s.idleSince[endpoint][:n-1], true
+		s.idleSince[endpoint], connectionReused = s.idleSince[endpoint][:n-1], true
 	} else {
 		delay += 2*wireDelay + handshakeDelay
 		sim.result.Connections++
@@ -285,7 +285,7 @@
 			if a.wasReceived {
 				sim.record(invariant.Event{Kind: invariant.AttemptAborted, Request: req.id, Node: e.id})
 			}
-			s.endAttempt(a, balance.TimedOut, reused)
+			s.endAttempt(a, balance.TimedOut, connectionReused)
 		}
 	})
 	endpointIncarnation := e.incarnation
@@ -294,13 +294,13 @@
 		switch {
 		case !a.isInFlight || a.sidecarIncarnation != s.incarnation || isLost:
 		case e.incarnation != endpointIncarnation || !e.isUp:
-			s.endAttempt(a, balance.ConnectFailed, reused)
+			s.endAttempt(a, balance.ConnectFailed, connectionReused)
 		default:
 			a.wasReceived = true
 			e.receive(a, sim.drawWork(req.class, e.tier), req.key, func(result balance.Result) {
 				sim.schedule(wireDelay, func() {
 					if !e.isIsolated && (!s.isCutOff || e.zone != s.cutZone) {
-						s.endAttempt(a, result, reused)
+						s.endAttempt(a, result, connectionReused)
 					}
 				})
 			})
--- a/internal/testkit/fleetsim/simulation.go
+++ b/internal/testkit/fleetsim/simulation.go
@@ -24,7 +24,7 @@
 	tiers           [][]*endpoint            // endpoints of each tier, including those that have been replaced
 	frontSidecars   []*sidecar               // sidecars that receive requests from clients
 	sidecars        []*sidecar               // all sidecars, including those of endpoints that have been replaced
-	keysSeen        map[string]time.Duration // virtual time at which isDuplicate stored an idempotency key, by tier, cell and key
+	keysSeen        map[string]time.Duration // virtual time at which recordKey recorded an idempotency key, by tier, cell and key
 	nameCount       int                      // number of names that nextName has returned
 	requestCount    int                      // number of requests that were sent to any sidecar, retries of clients included
 	timeline        []invariant.Event        // events for the check of the invariants, in order of time
@@ -119,8 +119,8 @@
 	c := classes[class]
 	startedAt, key := sim.now, sim.nextName("k")
 	sim.result.OfferedValue += c.weight
-	var send func(retries int)
-	send = func(retries int) {
+	var send func(retriesMade int)
+	send = func(retriesMade int) {
 		target := s
 		for range sim.frontSidecars {
 			if target.isUp {
@@ -129,15 +129,15 @@
 			target = sim.frontSidecars[sim.rng.IntN(len(sim.frontSidecars))]
 		}
 		sim.result.ClientAttempts++
-		target.accept(class, key, startedAt+c.deadline, func(status int) {
+		target.accept(class, key, startedAt+c.timeout, func(status int) {
 			switch {
 			case status == 200 && sim.now-startedAt <= c.latencyObjective:
 				sim.result.ServedValue += c.weight
 				sim.result.InTime++
 			case status == 200:
 				sim.result.Late++
-			case retries < maxClientRetries && sim.now+clientRetryDelay < startedAt+c.deadline:
-				sim.schedule(clientRetryDelay, func() { send(retries + 1) })
+			case retriesMade < maxClientRetries && sim.now+clientRetryDelay < startedAt+c.timeout:
+				sim.schedule(clientRetryDelay, func() { send(retriesMade + 1) })
 			case status == 503:
 				sim.result.Rejected++
 			case status == 0:
--- a/internal/testkit/raftsim/checker.go
+++ b/internal/testkit/raftsim/checker.go
@@ -39,7 +39,7 @@
 	if c.digestByVersion == nil {
 		c.digestByVersion = map[uint64][32]byte{}
 	}
-	if known, ok := c.digestByVersion[version]; ok && known != digest {
+	if knownDigest, ok := c.digestByVersion[version]; ok && knownDigest != digest {
 		c.addViolation("%v: daemon %d acts on other documents of version %d than another daemon", now, n.index, version)
 	}
 	c.digestByVersion[version] = digest
@@ -58,8 +58,8 @@
 	}
 }
 
-// observeResult records that a voter has applied a committed command, and verifies that all voters make the same version of a command
-// and that a version is made by one command only.
+// observeResult records that a voter has applied a committed command, and verifies that a command makes the same version on all voters
+// and that each version is made by only one command.
 func (c *Checker) observeResult(now time.Duration, n *Node, r consensus.Result) {
 	if r.ID == "" || r.Err != nil {
 		return
@@ -67,15 +67,15 @@
 	if c.versionByID == nil {
 		c.versionByID, c.idByVersion = map[string]uint64{}, map[uint64]string{}
 	}
-	if known, ok := c.versionByID[r.ID]; ok && known != r.Version {
-		c.addViolation("%v: voter %d made version %d of command %s, which had made version %d before", now, n.index, r.Version, r.ID, known)
+	if knownVersion, ok := c.versionByID[r.ID]; ok && knownVersion != r.Version {
+		c.addViolation("%v: voter %d made version %d of command %s, which had made version %d before", now, n.index, r.Version, r.ID, knownVersion)
 	}
 	c.versionByID[r.ID] = r.Version
 	if r.Unchanged {
 		return
 	}
-	if known, ok := c.idByVersion[r.Version]; ok && known != r.ID {
-		c.addViolation("%v: voter %d made version %d of command %s, another voter made it of %s", now, n.index, r.Version, r.ID, known)
+	if knownID, ok := c.idByVersion[r.Version]; ok && knownID != r.ID {
+		c.addViolation("%v: voter %d made version %d of command %s, another voter made it of %s", now, n.index, r.Version, r.ID, knownID)
 	}
 	c.idByVersion[r.Version] = r.ID
 	c.latestVersion = max(c.latestVersion, r.Version)
--- a/internal/testkit/raftsim/network.go
+++ b/internal/testkit/raftsim/network.go
@@ -47,7 +47,7 @@
 // send delivers a message between two nodes, given by index, after a random delay, unless the network loses it. deliver is called with
 // the receiving node.
 func (s *Simulation) send(from, to int, deliver func(n *Node)) {
-	if s.cutLinks[[2]int{from, to}] || s.rng.Float64() < s.lossRate {
+	if s.cutLinks[[2]int{from, to}] || s.rng.Float64() < s.lossProbability {
 		return
 	}
 	n := s.Nodes[to]
@@ -82,8 +82,8 @@
 	})
 }
 
-// sendGrant sends a lease grant of a node's voter. The receiving daemon handles the grant and then checks, without delaying anything
-// else, the pending version that the grant may offer.
+// sendGrant sends a lease grant of a node's voter. The receiving daemon handles the grant. If the grant offers a pending version, the
+// daemon then checks this version for checkDuration, and meanwhile goes on handling other events.
 func (s *Simulation) sendGrant(n *Node, g consensus.AddressedGrant) {
 	s.send(n.index, indexOf(g.Recipient), func(d *Node) {
 		d.gotGrant, d.leaseTarget = true, n.index
@@ -92,7 +92,7 @@
 		s.installLeasedVersion(d)
 		if version, docs := d.leaseHolder.PendingCheck(); version > 0 {
 			s.schedule(d, s.Now+checkDuration, func() {
-				if current, _ := d.leaseHolder.PendingCheck(); current == version {
+				if currentVersion, _ := d.leaseHolder.PendingCheck(); currentVersion == version {
 					d.leaseHolder.CompleteCheck(version, d.checkDocuments(docs))
 				}
 			})
--- a/internal/testkit/raftsim/node.go
+++ b/internal/testkit/raftsim/node.go
@@ -23,7 +23,7 @@
 
 	voterID         uint64         // raft id of the voter slot that the disk belongs to; 0: none
 	wasRemoved      bool           // the node's voter was removed from the cluster; the node's next start uses an empty disk
-	peerIndexes     map[uint64]int // indexes of voters by raft id, learned from their messages
+	peerIndexes     map[uint64]int // indexes of the nodes from which raft messages have arrived, by the raft id of the sending voter
 	knownVoters     []int          // indexes of the nodes that may be asked for a lease
 	diskID          string         // random id of the disk
 	persistedVoters []int          // indexes of the voters that the latest lease grant listed; kept across restarts of the node
@@ -40,7 +40,7 @@
 	installedDigest  [32]byte // digest of the documents of installedVersion
 }
 
-// localTime converts virtual time to the time of the node's clock, which shows one hour at the start.
+// localTime converts virtual time to the time of the node's clock, which shows one hour at virtual time 0.
 func (n *Node) localTime(now time.Duration) time.Duration {
 	return time.Hour + time.Duration(float64(now)*n.clockRate)
 }
@@ -147,8 +147,8 @@
 	s.Crash(n)
 }
 
-// processOutput processes the output of a node's voter. Its records are appended to the log and synced first; only then are messages
-// and grants sent and results reported, since a crash that lost the records would make them wrong.
+// processOutput processes the output of a node's voter. The output's records are appended to the log and synced first. Only then are
+// messages and grants sent and results reported, since these must not state anything that the node would forget in a crash.
 func (s *Simulation) processOutput(n *Node) {
 	if n.voter == nil {
 		return
@@ -300,8 +300,8 @@
 // version. decide also schedules the daemon's next decision.
 func (s *Simulation) decide(n *Node) {
 	s.Decisions++
-	leased := n.leaseHolder.Leased()
-	if n.installedVersion > 0 && (leased.CoversVersion(n.installedVersion, n.localTime(s.Now)) || s.options.LeaseConfig.SkipExpiryCheck) {
+	leasedVersion := n.leaseHolder.Leased()
+	if n.installedVersion > 0 && (leasedVersion.CoversVersion(n.installedVersion, n.localTime(s.Now)) || s.options.LeaseConfig.SkipExpiryCheck) {
 		s.Checker.observeDecision(s.Now, n, n.installedVersion, n.installedDigest)
 	} else {
 		s.DecisionsWithoutLease++
@@ -311,11 +311,11 @@
 
 // installLeasedVersion has all parts of a daemon act on the leased version after a random time of less than maxInstallTime.
 func (s *Simulation) installLeasedVersion(n *Node) {
-	leased := n.leaseHolder.Leased()
+	leasedVersion := n.leaseHolder.Leased()
 	s.schedule(n, s.Now+time.Duration(s.rng.Int64N(int64(maxInstallTime))), func() {
-		if leased.Version > n.installedVersion {
-			n.installedVersion, n.installedDigest = leased.Version, consensus.DigestDocuments(leased.Docs)
-			n.leaseHolder.MarkInstalled(leased.Version)
+		if leasedVersion.Version > n.installedVersion {
+			n.installedVersion, n.installedDigest = leasedVersion.Version, consensus.DigestDocuments(leasedVersion.Docs)
+			n.leaseHolder.MarkInstalled(leasedVersion.Version)
 		}
 	})
 }
--- a/internal/testkit/raftsim/simulation.go
+++ b/internal/testkit/raftsim/simulation.go
@@ -47,21 +47,21 @@
 
 // Simulation is a simulated cluster of voters and daemons in virtual time.
 type Simulation struct {
-	Now                   time.Duration // virtual time since the start
+	Now                   time.Duration // virtual time since the start of the simulation
 	Nodes                 []*Node
 	Checker               Checker
 	Decisions             int // number of attempts of daemons to act on a version, with or without a lease
 	DecisionsWithoutLease int // number of decisions that were denied, since no lease covered the installed version
 
-	options       Options
-	rng           *rand.Rand
-	queue         eventqueue.Queue[event]
-	cutLinks      map[[2]int]bool      // links that lose all messages, by the indexes of sender and receiver
-	lossRate      float64              // probability that a message on any link is lost
-	extraDelay    time.Duration        // greatest random delay of a message in addition to minDelay and delaySpread
-	proposals     map[string]*proposal // puts and reverts by command ID
-	lastPutNumber int                  // number in the ID of the latest proposal
-	isQuiescent   bool                 // no new puts or reconfigurations are proposed
+	options         Options
+	rng             *rand.Rand
+	queue           eventqueue.Queue[event]
+	cutLinks        map[[2]int]bool      // links that lose all messages, by the indexes of sender and receiver
+	lossProbability float64              // probability that a message on any link is lost
+	extraDelay      time.Duration        // greatest random delay of a message in addition to minDelay and delaySpread
+	proposals       map[string]*proposal // puts and reverts by command ID
+	lastPutNumber   int                  // number in the ID of the latest proposal
+	isQuiescent     bool                 // no new puts or reconfigurations are proposed
 }
 
 // New returns a simulation in which all nodes have started.
@@ -158,11 +158,11 @@
 			}
 		}
 		duration := time.Duration(s.rng.Int64N(int64(6 * time.Second)))
-		faultKinds := 8
+		faultKindCount := 8
 		if s.options.ReconfigurationInterval > 0 {
-			faultKinds++
+			faultKindCount++
 		}
-		switch s.rng.IntN(faultKinds) {
+		switch s.rng.IntN(faultKindCount) {
 		case 0, 1:
 			s.partition(duration)
 		case 2:
@@ -175,8 +175,8 @@
 				}
 			})
 		case 5:
-			s.lossRate = 0.3 * s.rng.Float64()
-			s.schedule(nil, s.Now+duration, func() { s.lossRate = 0 })
+			s.lossProbability = 0.3 * s.rng.Float64()
+			s.schedule(nil, s.Now+duration, func() { s.lossProbability = 0 })
 		case 6:
 			s.extraDelay = 400 * time.Millisecond
 			s.schedule(nil, s.Now+duration, func() { s.extraDelay = 0 })
@@ -191,7 +191,7 @@
 		}
 		s.Run(s.Now + time.Duration(s.rng.Int64N(int64(2*time.Second))))
 	}
-	s.cutLinks, s.lossRate, s.extraDelay = map[[2]int]bool{}, 0, 0
+	s.cutLinks, s.lossProbability, s.extraDelay = map[[2]int]bool{}, 0, 0
 	for _, n := range s.Nodes {
 		if n.isDown {
 			s.startNode(n)
@@ -203,14 +203,14 @@
 // messages of one direction are lost.
 func (s *Simulation) partition(duration time.Duration) {
 	oneWay := s.rng.IntN(3) == 0
-	side := map[int]bool{}
+	onFirstSide := map[int]bool{}
 	for i := range s.Nodes {
-		side[i] = s.rng.IntN(2) == 0
+		onFirstSide[i] = s.rng.IntN(2) == 0
 	}
 	links := map[[2]int]bool{}
 	for i := range s.Nodes {
 		for j := range s.Nodes {
-			if side[i] != side[j] && (!oneWay || side[i]) {
+			if onFirstSide[i] != onFirstSide[j] && (!oneWay || onFirstSide[i]) {
 				links[[2]int{i, j}] = true
 			}
 		}
--- a/internal/testkit/raftsim/simulation_test.go
+++ b/internal/testkit/raftsim/simulation_test.go
@@ -34,7 +34,7 @@
 	}
 	var mu sync.Mutex
 	var workers sync.WaitGroup
-	maxOverlap, decisions, withoutLease, versions := time.Duration(0), 0, 0, uint64(0)
+	maxOverlap, decisions, decisionsWithoutLease, versionCount := time.Duration(0), 0, 0, uint64(0)
 	seeds := make(chan uint64)
 	for range runtime.GOMAXPROCS(0) {
 		workers.Go(func() {
@@ -54,8 +54,8 @@
 				}
 				maxOverlap = max(maxOverlap, s.Checker.MaxOverlap)
 				decisions += s.Decisions
-				withoutLease += s.DecisionsWithoutLease
-				versions += s.Checker.latestVersion
+				decisionsWithoutLease += s.DecisionsWithoutLease
+				versionCount += s.Checker.latestVersion
 				mu.Unlock()
 			}
 		})
@@ -66,10 +66,10 @@
 	close(seeds)
 	workers.Wait()
 	t.Logf("%d schedules: longest overlap %v of %v; %d decisions, %d without a lease; %d versions",
-		scheduleCount, maxOverlap, leaseConfig.MaxOverlap(), decisions, withoutLease, versions)
+		scheduleCount, maxOverlap, leaseConfig.MaxOverlap(), decisions, decisionsWithoutLease, versionCount)
 }
 
-// The checker detects, in one of 300 schedules at least, each defect that breaks a guarantee of the leases or of the log.
+// The checker detects each defect that breaks a guarantee of the leases or of the log, in at least one of 300 runs with different seeds.
 func TestCheckerDetectsInjectedDefects(t *testing.T) {
 	for name, inject := range map[string]func(*Options){
 		"activation without waiting for leases to expire": func(o *Options) { o.LeaseConfig.SkipActivationWait = true },
--- a/internal/testkit/raftsim/table.go
+++ b/internal/testkit/raftsim/table.go
@@ -14,7 +14,7 @@
 // Measurements holds what Measure has measured in virtual time. Latencies are sorted in ascending order.
 type Measurements struct {
 	CommitLatency     []time.Duration // time from the proposal of a put to its commit
-	ActivationLatency []time.Duration // time from the proposal of a put until all running daemons act on its version
+	ActivationLatency []time.Duration // time from the proposal of a put until all running daemons have a valid lease on its version
 	FailoverTime      []time.Duration // time from a crash of the leader to the commit of a put that is proposed at that moment
 	MaxOverlap        time.Duration   // Checker.MaxOverlap before the first crash of a leader
 }
@@ -57,8 +57,8 @@
 	return m
 }
 
-// measurePut proposes a put, and returns the time until it is committed and the time until all running daemons act on its version.
-// measurePut gives up after a minute; commitLatency is then 0 if the put was not committed.
+// measurePut proposes a put, and returns the time until it is committed and the time until all running daemons have a valid lease on its
+// version. measurePut gives up after a minute; commitLatency is then 0 if the put was not committed.
 func (s *Simulation) measurePut() (commitLatency, activationLatency time.Duration) {
 	startedAt, versionBefore := s.Now, s.Checker.latestVersion
 	s.lastPutNumber++
@@ -69,15 +69,15 @@
 		if commitLatency == 0 && s.Checker.latestVersion > versionBefore {
 			commitLatency = s.Now - startedAt
 		}
-		if commitLatency > 0 && s.allActOn(s.Checker.latestVersion) {
+		if commitLatency > 0 && s.allHaveLease(s.Checker.latestVersion) {
 			return commitLatency, s.Now - startedAt
 		}
 	}
 	return commitLatency, time.Minute
 }
 
-// allActOn tells whether all running daemons have a valid lease on a version, or on a later one.
-func (s *Simulation) allActOn(version uint64) bool {
+// allHaveLease reports whether all running daemons have a valid lease on a version or on a later one.
+func (s *Simulation) allHaveLease(version uint64) bool {
 	return !slices.ContainsFunc(s.Nodes, func(n *Node) bool {
 		if n.isDown {
 			return false
@@ -91,7 +91,7 @@
 func WriteTables(out io.Writer, sizes []int, seed uint64) error {
 	leaseConfig := consensus.LeaseConfig{Duration: 15 * time.Second, ShortDuration: time.Duration(4.95 * float64(time.Second)), MaxClockDrift: 0.01}
 	var rows strings.Builder
-	// The headings stand for the median and longest time to commit, the median and longest time until all daemons act on the version,
+	// The headings stand for the median and longest time to commit, the median and longest time until all daemons have a lease on the version,
 	// Checker.MaxOverlap, and the median and longest time to commit after a crash of the leader.
 	fmt.Fprintln(&rows, "daemons\tagreed on: middle\tmost\tall act: middle\tmost\tcontradiction\tafter a leader's death: middle\tmost")
 	for _, n := range sizes {
--- a/internal/testkit/simdisk/simdisk.go
+++ b/internal/testkit/simdisk/simdisk.go
@@ -16,7 +16,8 @@
 // SectorSize is the number of bytes that a disk writes atomically.
 const SectorSize = 512
 
-// A Disk returns ErrIO for each change after FailAfter, and ErrFull for a write beyond Capacity.
+// If FailAfter is set, a Disk returns ErrIO for each change after the first FailAfter changes. If Capacity is set, a Disk returns ErrFull
+// for a write that would make its files larger than Capacity in total.
 var (
 	ErrIO   = errors.New("input/output error")
 	ErrFull = errors.New("no space left on device")
@@ -39,9 +40,9 @@
 
 // inode is the content of a file, as the running system sees it and as it certainly survives a crash.
 type inode struct {
-	content  []byte          // bytes as the running system sees them
-	durable  []byte          // bytes that certainly survive a crash: the content at the latest sync
-	unsynced []contentChange // changes of the content since the latest sync, in order
+	content         []byte          // bytes as the running system sees them
+	durableContent  []byte          // bytes that certainly survive a crash: the content at the latest sync
+	unsyncedChanges []contentChange // changes of the content since the latest sync, in order
 }
 
 // contentChange is a change of a file's content: a write of data at an offset, or a truncation to a size.
@@ -101,8 +102,8 @@
 
 // crash sets the content of the file to the durable content, changed by a random selection of the unsynced truncations and sectors.
 func (i *inode) crash(rng *rand.Rand) {
-	b := slices.Clone(i.durable)
-	for _, c := range i.unsynced {
+	b := slices.Clone(i.durableContent)
+	for _, c := range i.unsyncedChanges {
 		if c.isTruncation {
 			if rng.IntN(2) == 0 {
 				b = resize(b, c.size)
@@ -120,7 +121,7 @@
 			start = end
 		}
 	}
-	i.content, i.durable, i.unsynced = b, slices.Clone(b), nil
+	i.content, i.durableContent, i.unsyncedChanges = b, slices.Clone(b), nil
 }
 
 // resize truncates b to a size, or extends it with zeros.
@@ -145,7 +146,7 @@
 func (d *Disk) SetBytes(name string, b []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	i := &inode{content: slices.Clone(b), durable: slices.Clone(b)}
+	i := &inode{content: slices.Clone(b), durableContent: slices.Clone(b)}
 	d.files[name], d.durableFiles[name] = i, i
 }
 
@@ -320,7 +321,7 @@
 			p, err = p[:free], ErrFull
 		}
 	}
-	h.inode.unsynced = append(h.inode.unsynced, contentChange{offset: int64(len(h.inode.content)), data: slices.Clone(p)})
+	h.inode.unsyncedChanges = append(h.inode.unsyncedChanges, contentChange{offset: int64(len(h.inode.content)), data: slices.Clone(p)})
 	h.inode.content = append(h.inode.content, p...)
 	return len(p), err
 }
@@ -339,7 +340,7 @@
 	if err := errors.Join(h.checkCurrent(), h.disk.countChange()); err != nil {
 		return err
 	}
-	h.inode.unsynced = append(h.inode.unsynced, contentChange{isTruncation: true, size: size})
+	h.inode.unsyncedChanges = append(h.inode.unsyncedChanges, contentChange{isTruncation: true, size: size})
 	h.inode.content = resize(h.inode.content, size)
 	return nil
 }
@@ -351,7 +352,7 @@
 	if err := errors.Join(h.checkCurrent(), h.disk.countChange()); err != nil || h.disk.IgnoresSync {
 		return err
 	}
-	h.inode.durable, h.inode.unsynced = slices.Clone(h.inode.content), nil
+	h.inode.durableContent, h.inode.unsyncedChanges = slices.Clone(h.inode.content), nil
 	return nil
 }
 
--- a/internal/testkit/swimsim/simulation.go
+++ b/internal/testkit/swimsim/simulation.go
@@ -17,7 +17,7 @@
 	Nodes          int
 	Seed           uint64
 	StartConverged bool         // every node runs at the start and knows all others
-	LossFraction   float64      // probability that a datagram is lost, or that a stream message is delayed by resendDelay; a stream message that is not delayed is lost with the same probability
+	LossFraction   float64      // probability that a datagram is lost; a stream message is delayed by resendDelay with this probability, and otherwise lost with this probability
 	SlowFraction   float64      // fraction of nodes that alternate between pauses and running phases of about a second each
 	Swim           swim.Options // options of every node; Self, Seed and InitialMembers are overwritten
 }
@@ -34,7 +34,7 @@
 
 // Simulation is a set of nodes and the network between them. It is not safe for concurrent use.
 type Simulation struct {
-	Now   time.Duration // virtual time since the start
+	Now   time.Duration // virtual time since the start of the simulation
 	Nodes []*Node
 	IsCut func(from, to int) bool // reports whether messages between two nodes, given by index, are lost; nil: no link is cut
 
@@ -61,7 +61,8 @@
 	tickSeq     uint64        // sequence number of the node's latest scheduled tick; earlier ticks are dropped
 }
 
-// event is the arrival of a message at a node. Without a message it is the node's first start or a tick, at which timers of swim are due.
+// event is the arrival of a message at a node. An event without a message is the node's first start, or a tick at which timers of package
+// swim are due.
 type event struct {
 	node    *Node
 	message *swim.Message
@@ -109,7 +110,7 @@
 }
 
 // StartNode starts a new process of a node, with the identity n.Peer and the initial members given. Unless the options name
-// addresses to join, it joins through the first node and the one in the middle.
+// addresses to join, the process joins the cluster through the first node and the one in the middle.
 func (s *Simulation) StartNode(n *Node, members []swim.Update) {
 	o := s.options.Swim
 	o.Self, o.Seed, o.InitialMembers = n.Peer, s.rng.Uint64(), members
@@ -168,11 +169,11 @@
 	if n.IsDown || m == nil && e.Seq != n.tickSeq {
 		return false
 	}
-	if s.isPaused(n) {
+	if s.maybePause(n) {
 		s.queue.Reschedule(n.PausedUntil, e)
 		return false
 	}
-	viewBefore := n.ViewNumber()
+	viewNumberBefore := n.ViewNumber()
 	if m == nil {
 		n.Tick(n.clockTime(s.Now))
 	} else {
@@ -189,11 +190,11 @@
 		}
 	}
 	s.scheduleTick(n)
-	return n.ViewNumber() != viewBefore
+	return n.ViewNumber() != viewNumberBefore
 }
 
-// isPaused reports whether a node is paused now. If the node is slow and runs, isPaused may begin a pause at random.
-func (s *Simulation) isPaused(n *Node) bool {
+// maybePause reports whether a node is paused now. If the node is slow and runs, maybePause may begin a pause at random.
+func (s *Simulation) maybePause(n *Node) bool {
 	if n.PausedUntil > s.Now {
 		return true
 	}
--- a/internal/testkit/swimsim/simulation_test.go
+++ b/internal/testkit/swimsim/simulation_test.go
@@ -118,9 +118,9 @@
 		s.runWithPausedNodes(20*time.Second, 2)
 	},
 	"fast and slow clocks": func(s *checkedSimulation) {
-		for i, rate := range []float64{0.8, 1.25} {
+		for i, clockRate := range []float64{0.8, 1.25} {
 			s.killNodes(1 + i)
-			s.Nodes[1+i].ClockRate = rate
+			s.Nodes[1+i].ClockRate = clockRate
 			s.restart(s.Nodes[1+i], nextIdentity(s.Nodes[1+i]))
 		}
 		s.Run(s.Now+30*time.Second, nil)
@@ -291,14 +291,14 @@
 }
 
 func TestSameSeedGivesSameRun(t *testing.T) {
-	var first string
+	var firstResult string
 	for range 2 {
 		s := New(Options{Nodes: 30, Seed: 5, StartConverged: true, LossFraction: 0.3, SlowFraction: 0.2})
 		s.Run(time.Minute, nil)
-		if result := fmt.Sprint(s.Messages, s.Bytes, s.Nodes[3].View()); first != "" && result != first {
+		if result := fmt.Sprint(s.Messages, s.Bytes, s.Nodes[3].View()); firstResult != "" && result != firstResult {
 			t.Fatal("two runs with the same seed differ")
 		} else {
-			first = result
+			firstResult = result
 		}
 	}
 }
--- a/internal/testkit/swimsim/table.go
+++ b/internal/testkit/swimsim/table.go
@@ -47,8 +47,8 @@
 	return o
 }
 
-// Measure simulates the cluster. It observes the cluster without further faults, then kills some nodes one after another, and
-// if withCut is set, measures in a second simulation how long the cluster takes to recover from a cut.
+// Measure simulates the cluster: first without kills and cuts for ObservationPeriod, and then while some nodes are killed one after
+// another. If withCut is set, Measure also measures in a second simulation how long the cluster takes to recover from a cut.
 func (c MeasuredCluster) Measure(withCut bool) Measurement {
 	var m Measurement
 	sim := New(c.options())
@@ -99,8 +99,8 @@
 		}
 	}
 	sim.Kill(n)
-	others := len(sim.RunningNodes())
-	if sim.Run(killedAt+2*time.Minute, func() bool { return len(detectedBy) >= others }) {
+	otherCount := len(sim.RunningNodes())
+	if sim.Run(killedAt+2*time.Minute, func() bool { return len(detectedBy) >= otherCount }) {
 		m.FullDetections = append(m.FullDetections, sim.Now-killedAt)
 	}
 	sim.OnChange = nil
@@ -121,8 +121,9 @@
 	return sim.Now - healedAt
 }
 
-// WriteTables measures the failure detector and writes two tables: one by cluster size, and by message loss and slow nodes with and
-// without swim's Lifeguard extensions; one by probe interval and suspicion timeout.
+// WriteTables measures the failure detector and writes two tables. The rows of the first table are clusters of different sizes, and then
+// clusters with different message loss and different fractions of slow nodes, each with and without swim's Lifeguard extensions. The rows
+// of the second table are clusters with different probe intervals and suspicion timeouts.
 func WriteTables(out io.Writer, sizes []int, seed uint64) error {
 	var rows strings.Builder
 	fmt.Fprintln(&rows, "daemons\tloss\tslow\tLifeguard\tfalse/h\tfirst knows: middle\tmost\tall know: middle\tmost\tmessages/s\tbytes/s\tviews equal after a cut")
@@ -156,12 +157,12 @@
 	rows.Reset()
 	fmt.Fprintln(&rows, "\nprobe_every\tsuspicion\tloss\tslow\tfalse/h\tall know: middle\tmost\tmessages/s")
 	for _, probeInterval := range []time.Duration{250 * time.Millisecond, 500 * time.Millisecond, time.Second} {
-		for _, suspicion := range []time.Duration{500 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second} {
+		for _, suspicionTimeout := range []time.Duration{500 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second} {
 			for _, c := range []MeasuredCluster{{LossFraction: 0.2}, {SlowFraction: 0.1}} {
 				c.Nodes, c.ObservationPeriod, c.Seed = 100, 2*time.Minute, seed
-				c.Swim = swim.Options{ProbeInterval: probeInterval, SuspicionTimeout: suspicion}
+				c.Swim = swim.Options{ProbeInterval: probeInterval, SuspicionTimeout: suspicionTimeout}
 				m := c.Measure(false)
-				fmt.Fprintf(&rows, "%v\t%v\t%.0f %%\t%.0f %%\t%.0f\t%s\t%s\t%.1f\n", probeInterval, suspicion, 100*c.LossFraction, 100*c.SlowFraction, m.FalseFailureRate, formatQuantile(m.FullDetections, 0.5), formatQuantile(m.FullDetections, 1), m.MessageRate)
+				fmt.Fprintf(&rows, "%v\t%v\t%.0f %%\t%.0f %%\t%.0f\t%s\t%s\t%.1f\n", probeInterval, suspicionTimeout, 100*c.LossFraction, 100*c.SlowFraction, m.FalseFailureRate, formatQuantile(m.FullDetections, 0.5), formatQuantile(m.FullDetections, 1), m.MessageRate)
 			}
 		}
 	}
--- a/internal/testkit/testpeer/address.go
+++ b/internal/testkit/testpeer/address.go
@@ -14,19 +14,19 @@
 // 127.0.0.1 that was closed to be bound again later could be taken in between, by a listener of another test process or as the
 // local port of an outgoing connection.
 const (
-	firstBlockOctet = 200   // second octet of the first block; the kit's sidecars and daemons use smaller ones
-	blockOctets     = 55    // number of second octets
+	firstBlockOctet = 200   // second octet of the first block; the sidecars and daemons that package rehearse starts use smaller ones
+	blockOctetCount = 55    // number of second octets
 	blocksPerOctet  = 256   // number of third octets
 	claimHost       = 254   // last octet of the IP at which a process claims its block
 	claimPort       = 32767 // port at which a process claims its block; no address of a block has it
-	firstPort       = 10000 // lowest port of an address; all are below those that the kernel assigns, from 32768 on by default
+	firstPort       = 10000 // lowest port that nextAddress returns; its ports stay below those that the kernel assigns, from 32768 on by default
 )
 
 // addressBlock is a claimed block of loopback IPs.
 type addressBlock struct {
-	prefix string        // first three octets of its IPs, with a dot at the end
-	claim  net.Listener  // open listener that keeps other processes from claiming the block
-	issued atomic.Uint32 // number of addresses returned so far
+	prefix      string        // first three octets of the block's IPs, with a dot at the end
+	claim       net.Listener  // open listener that keeps other processes from claiming the block
+	issuedCount atomic.Uint32 // number of addresses returned so far
 }
 
 // processBlock claims this process's block in its first call. The block is held until the process ends.
@@ -34,10 +34,10 @@
 
 // claimBlock claims the first free block, counted from the given one.
 func claimBlock(start int) (*addressBlock, error) {
-	const blocks = blockOctets * blocksPerOctet
+	const blockCount = blockOctetCount * blocksPerOctet
 	var lastErr error
-	for i := range blocks {
-		n := (start + i) % blocks
+	for i := range blockCount {
+		n := (start + i) % blockCount
 		prefix := fmt.Sprintf("127.%d.%d.", firstBlockOctet+n/blocksPerOctet, n%blocksPerOctet)
 		claim, err := net.Listen("tcp", net.JoinHostPort(prefix+strconv.Itoa(claimHost), strconv.Itoa(claimPort)))
 		if err == nil {
@@ -50,7 +50,7 @@
 
 // nextAddress returns an address, host:port, that the block has not returned before. Its IP ends in host.
 func (b *addressBlock) nextAddress(host int) (string, error) {
-	port := firstPort - 1 + int(b.issued.Add(1))
+	port := firstPort - 1 + int(b.issuedCount.Add(1))
 	if port >= claimPort {
 		return "", fmt.Errorf("no port below %d is left in %s0/24", claimPort, b.prefix)
 	}
--- a/internal/testkit/testpeer/address_test.go
+++ b/internal/testkit/testpeer/address_test.go
@@ -10,11 +10,11 @@
 
 // Addresses differ, can be bound for TCP and UDP, and have ports that the kernel does not assign to outgoing connections.
 func TestFreeAddressesAreDistinctAndCanBeBound(t *testing.T) {
-	ports, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
+	portRange, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
 	if err != nil {
 		t.Fatal(err)
 	}
-	lowestAssigned, err := strconv.Atoi(strings.Fields(string(ports))[0])
+	lowestAssignedPort, err := strconv.Atoi(strings.Fields(string(portRange))[0])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,13 +35,13 @@
 			t.Fatal(err)
 		}
 		defer packetConn.Close()
-		if port := listener.Addr().(*net.TCPAddr).Port; port >= lowestAssigned {
-			t.Errorf("port %d may be assigned to an outgoing connection, want one below %d", port, lowestAssigned)
+		if port := listener.Addr().(*net.TCPAddr).Port; port >= lowestAssignedPort {
+			t.Errorf("port %d may be assigned to an outgoing connection, want one below %d", port, lowestAssignedPort)
 		}
 	}
 }
 
-// A block that is claimed is not claimed again, as by another test process.
+// A block that is claimed already, for example by another test process, is not claimed again.
 func TestClaimedBlockIsSkipped(t *testing.T) {
 	first, err := claimBlock(7)
 	if err != nil {
@@ -61,7 +61,7 @@
 // An address is never returned twice: a block without a port left returns an error.
 func TestBlockWithoutPortsLeftReturnsAnError(t *testing.T) {
 	block := &addressBlock{prefix: "127.0.0."}
-	block.issued.Store(claimPort - firstPort)
+	block.issuedCount.Store(claimPort - firstPort)
 	if address, err := block.nextAddress(1); err == nil {
 		t.Errorf("got %s, want an error", address)
 	}
--- a/internal/testkit/testpeer/testpeer.go
+++ b/internal/testkit/testpeer/testpeer.go
@@ -111,18 +111,18 @@
 	return len(descriptors)
 }
 
-// EncodeMembers encodes a discovery agent's message of the given list version. The message is a complete endpoint list if full is set, else an
-// update of the endpoints in entries. Each entry is a result of Member.
-func EncodeMembers(version int, full bool, entries ...string) string {
-	return fmt.Sprintf(`{"version":%d,"full":%v,"servers":[%s]}`, version, full, strings.Join(entries, ","))
+// EncodeMembers encodes a discovery agent's message of the given list version. The message is a complete endpoint list if isComplete is
+// set, else an update of the endpoints in entries. Each entry is a result of EncodeMember.
+func EncodeMembers(version int, isComplete bool, entries ...string) string {
+	return fmt.Sprintf(`{"version":%d,"full":%v,"servers":[%s]}`, version, isComplete, strings.Join(entries, ","))
 }
 
-// EncodeMember encodes one endpoint, as an entry for Members. The endpoint is in zone "z" and cell 3, and is of kind "k" and weight 1.
+// EncodeMember encodes one endpoint, as an entry for EncodeMembers. The endpoint is in zone "z" and cell 3, and is of kind "k" and weight 1.
 func EncodeMember(id, addr, state string) string {
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"z","kind":"k","cell":3,"state":%q,"weight":1.0,"started_ms":0}`, id, addr, state)
 }
 
-// ScriptedAgent is a discovery agent that writes the next of its steps in response to each request. After the last step it
+// ScriptedAgent is a discovery agent that writes the next of its Responses to each request. After the last one it
 // leaves requests unanswered until the client disconnects.
 type ScriptedAgent struct {
 	Responses []string    // response bodies, in order; the suffix "SILENT" is not written, but keeps the response open until the client disconnects
@@ -136,9 +136,9 @@
 		<-r.Context().Done()
 		return
 	}
-	step := a.Responses[0]
+	response := a.Responses[0]
 	a.Responses = a.Responses[1:]
-	body, holdOpen := strings.CutSuffix(step, "SILENT")
+	body, holdOpen := strings.CutSuffix(response, "SILENT")
 	_, _ = io.WriteString(w, body) // an error means that the sidecar has disconnected; it polls again
 	w.(http.Flusher).Flush()
 	if holdOpen {
--- a/tools/rename/main.go
+++ b/tools/rename/main.go
@@ -248,7 +248,7 @@
 
 // write applies the edits to the files. In each file it begins with the last edit, so that the offsets of the others stay valid.
 func (r *renamer) write() error {
-	count := 0
+	editCount := 0
 	for name, fileEdits := range r.edits {
 		text, err := os.ReadFile(filepath.Clean(name))
 		if err != nil {
@@ -261,8 +261,8 @@
 		if err := os.WriteFile(name, text, 0o644); err != nil {
 			return err
 		}
-		count += len(edits)
+		editCount += len(edits)
 	}
-	fmt.Printf("%d edits in %d files\n", count, len(r.edits))
+	fmt.Printf("%d edits in %d files\n", editCount, len(r.edits))
 	return nil
 }
