--- a/balance/admission.go
+++ b/balance/admission.go
@@ -49,7 +49,7 @@
 	if t == nil || t.Quota <= 0 || b.settings.Tier > 0 {
 		return false
 	}
-	refillRate := t.Quota / float64(max(b.settings.Balancers, 1))
+	refillRate := t.Quota / float64(max(b.settings.BalancerCount, 1))
 	t.tokens = min(t.tokens+refillRate*(now-t.refilledAt).Seconds(), max(refillRate*quotaBurstSeconds, 1))
 	t.refilledAt = now
 	if t.tokens < 1 {
--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -30,7 +30,7 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			s := defaultSettings()
-			s.Balancers = 10
+			s.BalancerCount = 10
 			// Together the quotas allow 80 requests per second, of which each of the ten balancers may admit 8.
 			s.Tenants = []balance.Tenant{{Name: "over quota", Quota: 20}, {Name: "within quota", Quota: 60}}
 			h := newHarness(t, s, "a", "b", "c")
--- a/balance/api.go
+++ b/balance/api.go
@@ -114,21 +114,21 @@
 	Quota float64 // requests per second that the tenant may send to all balancers of the tier together
 }
 
-// Settings configure a Balancer. They do not change after New, except for Balancers and Index, which the event
+// Settings configure a Balancer. They do not change after New, except for BalancerCount and BalancerIndex, which the event
 // SetBalancerCount replaces. The zero value of every field is valid.
 type Settings struct {
-	Seed       uint64   // seed of the random choices, which should differ between balancers
-	Balancers  int      // number of balancers that send to these endpoints, this one included
-	Index      int      // index of this balancer among all Balancers, from 0
-	Tier       int      // number of tiers of balancers between the clients and this one
-	TiersBelow int      // number of tiers that the endpoints depend on to serve a request
-	Classes    []Class  // classes of requests; a request of any other class counts as NonIdempotent
-	Tenants    []Tenant // tenants that have a quota
+	Seed          uint64   // seed of the random choices, which should differ between balancers
+	BalancerCount int      // number of balancers that send to these endpoints, this one included
+	BalancerIndex int      // index of this balancer among the BalancerCount balancers, from 0
+	Tier          int      // number of tiers of balancers between the clients and this one
+	TiersBelow    int      // number of tiers that the endpoints depend on to serve a request
+	Classes       []Class  // classes of requests; a request of any other class counts as NonIdempotent
+	Tenants       []Tenant // tenants that have a quota
 
 	MustSubscribe bool // whether discovery sends updates only after Host.Subscribe
-	// SubscribeWithin is the longest time that a balancer may be without a subscription to discovery or a poll of discovery. The
+	// MaxSubscribeInterval is the longest time that a balancer may be without a subscription to discovery or a poll of discovery. The
 	// backoff before a new subscription is at most half of it, or 500 ms if that is longer.
-	SubscribeWithin time.Duration
+	MaxSubscribeInterval time.Duration
 
 	MaxAttempts   int           // attempts allowed per request; 0: no limit
 	CanCancel     bool          // whether the host may cancel attempts
@@ -152,17 +152,17 @@
 
 // Endpoint is an entry of an endpoint list.
 type Endpoint struct {
-	ID      string        // name of the endpoint in lists and in calls of the Host
-	State   State         // state according to discovery
-	Zone    string        // zone in which the endpoint runs
-	Kind    string        // name of the endpoint's kind; endpoints of one kind have the same size and speed, as far as discovery knows
-	Cell    int           // number of the endpoint's cell; endpoints of one cell share the idempotency keys that they have received
-	Started time.Duration // instant at which the endpoint last started; 0: long ago
+	ID        string        // name of the endpoint in lists and in calls of the Host
+	State     State         // state according to discovery
+	Zone      string        // zone in which the endpoint runs
+	Kind      string        // name of the endpoint's kind; endpoints of one kind have the same size and speed, as far as discovery knows
+	Cell      int           // number of the endpoint's cell; endpoints of one cell share the idempotency keys that they have received
+	StartedAt time.Duration // instant at which the endpoint last started; 0: long ago
 }
 
 // EndpointUpdate is an update of the endpoint list by discovery.
 type EndpointUpdate struct {
-	Failed    bool       // whether a poll failed or a subscription broke, so that the update has no endpoints
+	HasFailed bool       // whether a poll failed or a subscription broke, so that the update has no endpoints
 	Complete  bool       // whether endpoints that are missing in Endpoints are gone; if false, they are unchanged
 	Endpoints []Endpoint // new and changed endpoints, or all endpoints if Complete
 }
@@ -200,14 +200,14 @@
 
 // Load is the load that an endpoint has reported in its response to a load probe.
 type Load struct {
-	Known    bool    // whether there is a load report; if not, Requests has no meaning
-	Requests float64 // requests that the endpoint serves or has queued
+	IsReported bool    // whether there is a load report; if not, Requests has no meaning
+	Requests   float64 // requests that the endpoint serves or has queued
 }
 
 // Outcome describes how an attempt ended, as the host reports it.
 type Outcome struct {
 	ID               string        // ID of the request
-	Attempt          int           // number of the attempt, from 0
+	AttemptNumber    int           // number of the attempt, from 0
 	Endpoint         string        // ID of the endpoint that the attempt was sent to
 	Result           Result        // how the attempt ended
 	Latency          time.Duration // time from the sending of the attempt to its end
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -85,7 +85,7 @@
 		b.meanLatencyObjective += c.LatencyObjective.Seconds() / float64(len(s.Classes))
 	}
 	for _, t := range s.Tenants {
-		quota := t.Quota / float64(max(s.Balancers, 1))
+		quota := t.Quota / float64(max(s.BalancerCount, 1))
 		b.totalQuota += quota
 		b.tenants[t.Name] = &tenant{Tenant: t, tokens: quota, refilledAt: now}
 	}
@@ -97,9 +97,9 @@
 
 // EndpointList implements Events. An endpoint that is draining or gone gets no attempt after this event.
 func (b *Balancer) EndpointList(now time.Duration, l EndpointUpdate) {
-	if l.Failed { // subscribe again after a backoff; its jitter keeps balancers from doing so all at once
+	if l.HasFailed { // subscribe again after a backoff; its jitter keeps balancers from doing so all at once
 		if b.settings.MustSubscribe {
-			longestBackoff := max(b.settings.SubscribeWithin/2, minBackoff)
+			longestBackoff := max(b.settings.MaxSubscribeInterval/2, minBackoff)
 			b.resubscribeBackoff = min(max(2*b.resubscribeBackoff, minBackoff), longestBackoff)
 			b.resubscribeAt = now + b.jitter(b.resubscribeBackoff)
 			b.wakeAt(b.resubscribeAt)
@@ -149,7 +149,7 @@
 	}
 	if ep.manuallyEjected = ejected; !ejected {
 		ep.incarnation++
-		ep.restoredAt, ep.Started, ep.trialInFlight = now, now, false
+		ep.restoredAt, ep.StartedAt, ep.trialInFlight = now, now, false
 		ep.errorRate, ep.reportedLoad, ep.reportedLoadAt = 0, 0, 0
 		b.resetEndpoint(now, ep, false)
 	}
@@ -246,7 +246,7 @@
 // Outcome implements Events: it records the result of an attempt and decides whether to retry.
 func (b *Balancer) Outcome(now time.Duration, o Outcome) {
 	req := b.requests[o.ID]
-	att := req.inFlightAttempt(o.Attempt)
+	att := req.inFlightAttempt(o.AttemptNumber)
 	if att == nil {
 		return
 	}
@@ -308,11 +308,11 @@
 // SetBalancerCount implements Events. A change gives no tenant a burst: the tokens that a tenant has saved
 // shrink if this balancer's part of the quota does, but do not grow with it.
 func (b *Balancer) SetBalancerCount(now time.Duration, balancers, index int) {
-	oldCount, newCount := float64(max(b.settings.Balancers, 1)), float64(max(balancers, 1))
-	if oldCount == newCount && b.settings.Index == index {
+	oldCount, newCount := float64(max(b.settings.BalancerCount, 1)), float64(max(balancers, 1))
+	if oldCount == newCount && b.settings.BalancerIndex == index {
 		return
 	}
-	b.settings.Balancers, b.settings.Index = balancers, index
+	b.settings.BalancerCount, b.settings.BalancerIndex = balancers, index
 	b.totalQuota *= oldCount / newCount
 	for _, t := range b.tenants {
 		t.tokens = (t.tokens + t.Quota/oldCount*(now-t.refilledAt).Seconds()) * min(oldCount/newCount, 1)
--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -12,9 +12,9 @@
 
 func TestFailedSubscriptionIsRepeated(t *testing.T) {
 	s := defaultSettings()
-	s.MustSubscribe, s.SubscribeWithin = true, 10*time.Second
+	s.MustSubscribe, s.MaxSubscribeInterval = true, 10*time.Second
 	h := newHarness(t, s, "a")
-	h.balancer.EndpointList(h.now, balance.EndpointUpdate{Failed: true})
+	h.balancer.EndpointList(h.now, balance.EndpointUpdate{HasFailed: true})
 	h.advance(5 * time.Second)
 	if n := h.countActions("subscribe"); n != 2 {
 		t.Errorf("%d subscriptions within 5 s of the failure, want 2, the first included", n)
@@ -29,7 +29,7 @@
 	}{
 		{"zero", balance.Settings{}},
 		{"probes without classes", balance.Settings{CanProbe: true}},
-		{"negative numbers, class and tenant without name", balance.Settings{Balancers: -1, MaxAttempts: -1,
+		{"negative numbers, class and tenant without name", balance.Settings{BalancerCount: -1, MaxAttempts: -1,
 			Classes: []balance.Class{{}}, Tenants: []balance.Tenant{{}}}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -40,7 +40,7 @@
 // newSingleBalancer returns the only balancer of n endpoints, and its host.
 func newSingleBalancer(n int) (*balance.Balancer, *recordingHost) {
 	h := &recordingHost{}
-	b := balance.New(time.Hour, balance.Settings{Balancers: 1, MaxAttempts: 4, CanCancel: true,
+	b := balance.New(time.Hour, balance.Settings{BalancerCount: 1, MaxAttempts: 4, CanCancel: true,
 		TimerResolution: 5 * time.Millisecond, SlowStartCapacity: 0.3, SlowStartDuration: 10 * time.Second,
 		Classes: []balance.Class{{Name: "lookup", LatencyObjective: time.Second}}}, h)
 	b.EndpointList(time.Hour, completeList(n))
--- a/balance/concurrency.go
+++ b/balance/concurrency.go
@@ -60,7 +60,7 @@
 func (b *Balancer) endpointShare() float64 {
 	n := float64(len(b.endpoints))
 	if b.settings.Tier == 0 {
-		n /= float64(max(b.settings.Balancers, 1))
+		n /= float64(max(b.settings.BalancerCount, 1))
 	}
 	return max(n, 1)
 }
--- a/balance/concurrency_test.go
+++ b/balance/concurrency_test.go
@@ -14,7 +14,7 @@
 // first, a burst saturates the endpoints meanwhile (found by simulation h36c04c).
 func TestLowTrafficBalancerReducesItsLimitWithinTwoSeconds(t *testing.T) {
 	s := defaultSettings()
-	s.Balancers = 10
+	s.BalancerCount = 10
 	h := newHarness(t, s, "a", "b", "c", "d")
 	finishAt := map[string]time.Duration{}
 	// run sends four requests per second for n half seconds, and returns the largest number of attempts in flight at once.
@@ -105,7 +105,7 @@
 func TestFirstTierBalancersDivideTheInitialConcurrencyLimit(t *testing.T) {
 	countInitialSends := func(balancers, tier int) int {
 		s := defaultSettings()
-		s.Balancers, s.Tier = balancers, tier
+		s.BalancerCount, s.Tier = balancers, tier
 		h := newHarness(t, s, "a", "b", "c", "d", "e", "f", "g", "h")
 		for range 100 {
 			h.request("read")
--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -53,7 +53,7 @@
 			r = NotSent // the tier below fails for all endpoints, which says nothing about this endpoint
 		}
 	case Reset: // the endpoint is assumed to restart and to warm up afterwards
-		ep.Started = max(ep.Started, now)
+		ep.StartedAt = max(ep.StartedAt, now)
 	}
 	if r == Canceled || r == NotSent { // no latency sample; a trial has failed only if it was overdue
 		if att.isTrial {
--- a/balance/endpointlist.go
+++ b/balance/endpointlist.go
@@ -16,8 +16,8 @@
 			ep = &endpoint{manuallyEjected: b.manuallyEjected[entry.ID]}
 			b.endpointByID[entry.ID], b.endpoints = ep, append(b.endpoints, ep)
 		}
-		entry.Started = max(entry.Started, ep.restoredAt) // a manual restoration counts as a start
-		if ep.kind == nil || entry.Started > ep.Started {
+		entry.StartedAt = max(entry.StartedAt, ep.restoredAt) // a manual restoration counts as a start
+		if ep.kind == nil || entry.StartedAt > ep.StartedAt {
 			startedEndpoints = append(startedEndpoints, ep)
 		}
 		ep.Endpoint = entry
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -25,7 +25,7 @@
 
 func Example() {
 	b := balance.New(0, balance.Settings{
-		Balancers: 1, MaxAttempts: 3, CanCancel: true, TimerResolution: time.Millisecond,
+		BalancerCount: 1, MaxAttempts: 3, CanCancel: true, TimerResolution: time.Millisecond,
 		Classes: []balance.Class{{Name: "lookup", Idempotency: balance.Idempotent, LatencyObjective: time.Second}},
 	}, printingHost{})
 	b.EndpointList(0, balance.EndpointUpdate{Complete: true, Endpoints: []balance.Endpoint{{ID: "10.0.0.1:80"}}})
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -54,7 +54,7 @@
 
 // defaultSettings returns settings with two classes: read, whose requests are idempotent, and bill, whose requests are not.
 func defaultSettings() balance.Settings {
-	return balance.Settings{Balancers: 1, MaxAttempts: 4, CanCancel: true, TimerResolution: ms,
+	return balance.Settings{BalancerCount: 1, MaxAttempts: 4, CanCancel: true, TimerResolution: ms,
 		SlowStartCapacity: 0.3, SlowStartDuration: 9 * time.Second, Classes: []balance.Class{
 			{Name: "read", Idempotency: balance.Idempotent, LatencyObjective: 2 * time.Second},
 			{Name: "bill", Idempotency: balance.NonIdempotent, LatencyObjective: 2 * time.Second}}}
@@ -112,7 +112,7 @@
 // finish reports the outcome of the last attempt of a request.
 func (h *harness) finish(id string, result balance.Result) {
 	n := len(h.sentTo[id]) - 1
-	h.balancer.Outcome(h.now, balance.Outcome{ID: id, Attempt: n, Endpoint: h.sentTo[id][n], Result: result,
+	h.balancer.Outcome(h.now, balance.Outcome{ID: id, AttemptNumber: n, Endpoint: h.sentTo[id][n], Result: result,
 		Latency: h.now - h.sentAt[id], IsFinal: result == balance.OK})
 }
 
--- a/balance/invariant_test.go
+++ b/balance/invariant_test.go
@@ -89,7 +89,7 @@
 			sim.t.Fatalf("%v: Send of %s to %s, where it may take effect twice", sim.now, id, ep)
 		}
 	}
-	if e.Started > 0 && sim.now-e.Started < sim.settings.SlowStartDuration {
+	if e.StartedAt > 0 && sim.now-e.StartedAt < sim.settings.SlowStartDuration {
 		sim.slowStartSends[ep] = append(sim.slowStartSends[ep], sim.now)
 	}
 	sim.sends++
@@ -206,7 +206,7 @@
 // changeList reports a failed update, or one with a random change of a random endpoint.
 func (sim *simulation) changeList() {
 	if sim.rng.IntN(10) == 0 {
-		sim.balancer.EndpointList(sim.now, balance.EndpointUpdate{Failed: true})
+		sim.balancer.EndpointList(sim.now, balance.EndpointUpdate{HasFailed: true})
 		return
 	}
 	id := sim.rng.IntN(12)
@@ -217,9 +217,9 @@
 	}
 	oldEntry, isListed := sim.listed[e.ID]
 	if e.State == balance.Ready && (!isListed || oldEntry.State == balance.Gone || sim.rng.IntN(3) == 0) {
-		e.Started = sim.now
+		e.StartedAt = sim.now
 	} else {
-		e.Started = oldEntry.Started
+		e.StartedAt = oldEntry.StartedAt
 	}
 	if e.State == balance.Ready {
 		delete(sim.unavailableSince, e.ID)
@@ -273,9 +273,9 @@
 	probedIDs := sim.probedIDs
 	sim.probedIDs = nil
 	for _, ep := range probedIDs {
-		p := balance.ProbeResult{Endpoint: ep, Load: balance.Load{Known: true, Requests: float64(sim.rng.IntN(5))}}
+		p := balance.ProbeResult{Endpoint: ep, Load: balance.Load{IsReported: true, Requests: float64(sim.rng.IntN(5))}}
 		if sim.rng.IntN(6) == 0 {
-			p.Result, p.Load.Known = balance.ConnectFailed, false
+			p.Result, p.Load.IsReported = balance.ConnectFailed, false
 		}
 		if sim.rng.IntN(20) > 0 { // one load probe in 20 gets no result
 			sim.balancer.Probed(sim.now, p)
@@ -299,10 +299,10 @@
 				}
 				isFinal := req.isFinished
 				req.balancerKnowsEnd = req.balancerKnowsEnd || isFinal
-				sim.balancer.Outcome(sim.now, balance.Outcome{ID: id, Attempt: n, Endpoint: att.endpoint.ID, Result: att.result,
+				sim.balancer.Outcome(sim.now, balance.Outcome{ID: id, AttemptNumber: n, Endpoint: att.endpoint.ID, Result: att.result,
 					Latency: sim.now - att.sentAt, IsFinal: isFinal})
 				if sim.rng.IntN(30) == 0 { // the balancer must ignore a second outcome
-					sim.balancer.Outcome(sim.now, balance.Outcome{ID: id, Attempt: n, Endpoint: att.endpoint.ID, Result: att.result,
+					sim.balancer.Outcome(sim.now, balance.Outcome{ID: id, AttemptNumber: n, Endpoint: att.endpoint.ID, Result: att.result,
 						IsFinal: isFinal})
 				}
 			}
@@ -325,8 +325,8 @@
 	sim := &simulation{t: tb, rng: rng, now: time.Duration(1+rng.IntN(1000)) * time.Second,
 		listed: map[string]balance.Endpoint{}, unavailableSince: map[string]time.Duration{},
 		manuallyEjected: map[string]bool{}, slowStartSends: map[string][]time.Duration{}}
-	sim.settings = balance.Settings{Balancers: 1 + rng.IntN(3), Tier: rng.IntN(2), TiersBelow: rng.IntN(3),
-		MustSubscribe: rng.IntN(2) == 0, SubscribeWithin: 10 * time.Second, MaxAttempts: 1 + rng.IntN(5),
+	sim.settings = balance.Settings{BalancerCount: 1 + rng.IntN(3), Tier: rng.IntN(2), TiersBelow: rng.IntN(3),
+		MustSubscribe: rng.IntN(2) == 0, MaxSubscribeInterval: 10 * time.Second, MaxAttempts: 1 + rng.IntN(5),
 		CanCancel: rng.IntN(4) > 0, CanProbe: rng.IntN(3) == 0,
 		TimerResolution:   time.Duration(1+rng.IntN(5)) * ms,
 		SlowStartCapacity: 0.3, SlowStartDuration: 9 * time.Second,
--- a/balance/manual_ejection_test.go
+++ b/balance/manual_ejection_test.go
@@ -16,7 +16,7 @@
 	updates := []balance.EndpointUpdate{
 		{Endpoints: []balance.Endpoint{{ID: "a", State: balance.Draining}}},
 		{Endpoints: []balance.Endpoint{{ID: "a", State: balance.Gone}}},
-		{Endpoints: []balance.Endpoint{{ID: "a", Started: h.now}}},
+		{Endpoints: []balance.Endpoint{{ID: "a", StartedAt: h.now}}},
 		{Complete: true, Endpoints: []balance.Endpoint{{ID: "b"}}},
 		{Complete: true, Endpoints: []balance.Endpoint{{ID: "a"}, {ID: "b"}}},
 	}
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -197,7 +197,7 @@
 	}
 	if p.Result != OK && ep.active {
 		b.eject(now, ep)
-	} else if p.Load.Known {
+	} else if p.Load.IsReported {
 		ep.reportedLoad, ep.reportedLoadAt = p.Load.Requests, now
 		b.meanReportedLoad += (p.Load.Requests - b.meanReportedLoad) * recentMeanGain
 	}
--- a/balance/pick_test.go
+++ b/balance/pick_test.go
@@ -154,7 +154,7 @@
 		t.Fatalf("actions are %v, want 3 load probes", h.actions)
 	}
 	for ep, load := range map[string]float64{"a": 4, "b": 0, "c": 4} {
-		h.balancer.Probed(h.now, balance.ProbeResult{Endpoint: ep, Load: balance.Load{Known: true, Requests: load}})
+		h.balancer.Probed(h.now, balance.ProbeResult{Endpoint: ep, Load: balance.Load{IsReported: true, Requests: load}})
 	}
 	if got := h.sentTo["r1"]; !slices.Equal(got, []string{"b"}) {
 		t.Errorf("r1 was sent to %v, want b, which reported no load", got)
@@ -182,7 +182,7 @@
 			if !ok {
 				continue
 			}
-			load := balance.Load{Known: true, Requests: 1}
+			load := balance.Load{IsReported: true, Requests: 1}
 			if probes++; strings.HasPrefix(ep, "hung") {
 				load.Requests = 8
 				hungProbes++
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -37,7 +37,7 @@
 		id, ep := h.request("read")
 		for n := 0; ep != "" && n < len(h.sentTo[id]); n++ {
 			h.advance(10 * ms)
-			h.balancer.Outcome(h.now, balance.Outcome{ID: id, Attempt: n, Endpoint: h.sentTo[id][n], Result: balance.ErrorResponse,
+			h.balancer.Outcome(h.now, balance.Outcome{ID: id, AttemptNumber: n, Endpoint: h.sentTo[id][n], Result: balance.ErrorResponse,
 				Latency: 10 * ms})
 		}
 	}
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -52,9 +52,9 @@
 // capacityFraction returns the least fraction of its full capacity that the endpoint has now; 1 unless it is
 // warming up.
 func (b *Balancer) capacityFraction(now time.Duration, ep *endpoint) float64 {
-	if ep.Started <= 0 || now-ep.Started >= b.settings.SlowStartDuration {
+	if ep.StartedAt <= 0 || now-ep.StartedAt >= b.settings.SlowStartDuration {
 		return 1
 	}
-	warmedFraction := float64(max(now-ep.Started, 0)) / float64(b.settings.SlowStartDuration)
+	warmedFraction := float64(max(now-ep.StartedAt, 0)) / float64(b.settings.SlowStartDuration)
 	return max(b.settings.SlowStartCapacity+(1-b.settings.SlowStartCapacity)*warmedFraction, 0.05)
 }
--- a/balance/slowstart_fleet_test.go
+++ b/balance/slowstart_fleet_test.go
@@ -52,7 +52,7 @@
 
 func (member *fleetMember) Send(id, endpoint string, _ time.Duration) {
 	fleet := member.fleet
-	if fleet.listed[endpoint].Started > 0 {
+	if fleet.listed[endpoint].StartedAt > 0 {
 		fleet.sends[endpoint] = append(fleet.sends[endpoint], fleet.now)
 	}
 	member.pending = append(member.pending, pendingOutcome{fleet.now + fleetServiceTime,
@@ -92,7 +92,7 @@
 	member.incarnation++
 	member.pending, member.timers = nil, nil
 	member.balancer = balance.New(fleet.now, balance.Settings{Seed: uint64(member.index + member.incarnation*1000),
-		Balancers: fleetBalancers, Index: member.index, MaxAttempts: 4, TimerResolution: ms,
+		BalancerCount: fleetBalancers, BalancerIndex: member.index, MaxAttempts: 4, TimerResolution: ms,
 		SlowStartCapacity: fleetInitialCapacity, SlowStartDuration: fleetSlowStart, Classes: defaultSettings().Classes}, member)
 	complete := balance.EndpointUpdate{Complete: true}
 	for i := range fleetEndpoints {
@@ -169,7 +169,7 @@
 			for at[windowStart] <= end-overloadWindow {
 				windowStart++
 			}
-			warmUpProgress := min(float64(end-fleet.listed[id].Started)/float64(fleetSlowStart), 1)
+			warmUpProgress := min(float64(end-fleet.listed[id].StartedAt)/float64(fleetSlowStart), 1)
 			capacity := fleetInitialCapacity + (1-fleetInitialCapacity)*warmUpProgress
 			evenRate := fleetBalancers * fleetRequestRate / fleetEndpoints
 			overloadCount := overloadMultiple * capacity * evenRate / warmUtilization * overloadWindow.Seconds()
@@ -184,7 +184,7 @@
 func TestManyBalancersDoNotOverloadAnEndpointThatIsWarmingUp(t *testing.T) {
 	startingEndpoints := func(fleet *balancerFleet, n int) (endpoints []balance.Endpoint) {
 		for i := range n {
-			endpoints = append(endpoints, balance.Endpoint{ID: fmt.Sprintf("cold%03d", i), Started: fleet.now - time.Second})
+			endpoints = append(endpoints, balance.Endpoint{ID: fmt.Sprintf("cold%03d", i), StartedAt: fleet.now - time.Second})
 		}
 		return endpoints
 	}
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -19,7 +19,7 @@
 	for c := range balancers {
 		s := defaultSettings()
 		h := newHarness(t, s, names...)
-		h.balancer = balance.New(h.now, balance.Settings{Seed: uint64(c), Balancers: balancers, Index: c, MaxAttempts: 4, TimerResolution: ms,
+		h.balancer = balance.New(h.now, balance.Settings{Seed: uint64(c), BalancerCount: balancers, BalancerIndex: c, MaxAttempts: 4, TimerResolution: ms,
 			SlowStartCapacity: 0.3, SlowStartDuration: 9 * time.Second, Classes: s.Classes}, h)
 		l := balance.EndpointUpdate{Complete: true}
 		for _, id := range names {
@@ -37,7 +37,7 @@
 			step()
 		}
 		startedAt := h.now
-		h.balancer.EndpointList(h.now, balance.EndpointUpdate{Endpoints: []balance.Endpoint{{ID: "new", Started: startedAt}}})
+		h.balancer.EndpointList(h.now, balance.EndpointUpdate{Endpoints: []balance.Endpoint{{ID: "new", StartedAt: startedAt}}})
 		for h.now < startedAt+11*time.Second {
 			if at := (h.now - startedAt) / time.Second; step() == "new" {
 				requests[at]++
@@ -61,7 +61,7 @@
 	h := newHarness(t, defaultSettings(), "a", "b", "c")
 	latency := map[string]time.Duration{"a": 20 * ms, "b": 20 * ms, "c": 20 * ms, "new": 20 * ms}
 	h.serve(300, latency)
-	h.balancer.EndpointList(h.now, balance.EndpointUpdate{Endpoints: []balance.Endpoint{{ID: "new", Started: h.now}}})
+	h.balancer.EndpointList(h.now, balance.EndpointUpdate{Endpoints: []balance.Endpoint{{ID: "new", StartedAt: h.now}}})
 	counts := h.serve(150, latency)
 	if counts["new"] == 0 || counts["new"] > 150/4*2/3 {
 		t.Errorf("the new one of four endpoints got %d of 150 requests, want 1 to %d", counts["new"], 150/4*2/3)
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -42,7 +42,7 @@
 	b.recentlyUsed, b.pickSample, b.cachedWeightUses = b.recentlyUsed[:0], b.pickSample[:0], 0
 	isUnavailable := func(ep *endpoint) bool { return !ep.isAvailable() }
 	b.subset = slices.DeleteFunc(slices.Clone(b.endpoints), isUnavailable)
-	n, balancers := float64(len(b.subset)), float64(max(b.settings.Balancers, 1))
+	n, balancers := float64(len(b.subset)), float64(max(b.settings.BalancerCount, 1))
 	subsetSize := math.Floor(max(b.subsetSizeByRate, minSubsetSize, balancersPerEndpoint*n/balancers))
 	if 2*subsetSize >= n {
 		return
@@ -50,7 +50,7 @@
 	slices.SortFunc(b.subset, func(x, y *endpoint) int {
 		return cmp.Or(cmp.Compare(x.Kind, y.Kind), cmp.Compare(x.ID, y.ID))
 	})
-	startFraction := min(float64(max(b.settings.Index, 0))/balancers, 1-1/balancers)
+	startFraction := min(float64(max(b.settings.BalancerIndex, 0))/balancers, 1-1/balancers)
 	for i := range int(subsetSize) {
 		b.subset[i] = b.subset[int((float64(i)+startFraction)/subsetSize*n)]
 	}
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -11,7 +11,7 @@
 // A balancer with a changed index uses other endpoints, and the state of all endpoints is kept.
 func TestChangedIndexChangesTheSubsetAndKeepsEndpointState(t *testing.T) {
 	s := defaultSettings()
-	s.Balancers = 60
+	s.BalancerCount = 60
 	var ids []string
 	for i := range 100 {
 		ids = append(ids, fmt.Sprintf("e%02d", i))
@@ -58,7 +58,7 @@
 	balancersByEndpoint, smallestSubset = map[string]int{}, endpoints
 	for c := range balancers {
 		s := defaultSettings()
-		s.Balancers, s.Index = balancers, c
+		s.BalancerCount, s.BalancerIndex = balancers, c
 		h := newHarness(t, s, names...)
 		used := map[string]bool{}
 		for range 40 {
--- a/cmd/tuliprock/check.go
+++ b/cmd/tuliprock/check.go
@@ -104,7 +104,7 @@
 func summaryRows(f *config.File) string {
 	var rows strings.Builder
 	for _, l := range f.Listener {
-		fmt.Fprintf(&rows, "listener\t%s\t%s\tup to %d connections, bodies of %d bytes\n", l.Name, l.Address, l.Connections, l.BodyBytes)
+		fmt.Fprintf(&rows, "listener\t%s\t%s\tup to %d connections, bodies of %d bytes\n", l.Name, l.Address, l.MaxConnections, l.MaxBodyBytes)
 	}
 	if f.Daemon.AdminAddr != "" {
 		fmt.Fprintf(&rows, "operators\t\t%s\tcheck, vars, peers, settings, set-down ID, set-up ID\n", f.Daemon.AdminAddr)
@@ -120,7 +120,7 @@
 		fmt.Fprintf(&rows, "tenant\t%s\t\t%v requests a second\n", n.Name, n.Quota)
 	}
 	for _, p := range f.Pool {
-		fmt.Fprintf(&rows, "pool\t%s\t%s\t%d attempts at most\n", p.Name, describeMembersSource(&p), p.Attempts)
+		fmt.Fprintf(&rows, "pool\t%s\t%s\t%d attempts at most\n", p.Name, describeMembersSource(&p), p.MaxAttempts)
 	}
 	for i, r := range f.Route {
 		fmt.Fprintf(&rows, "%s\t\t%s\tas %s\n", routeName(f, i), r.Pool, r.Class)
@@ -138,7 +138,7 @@
 		return "members by DNS, " + p.DNS.Name
 	case p.Agent != "":
 		return "members from the agent at " + p.Agent
-	case p.Members != "":
+	case p.MembersSource != "":
 		return "members as is agreed on"
 	default:
 		return fmt.Sprintf("%d members", len(p.Member))
--- a/cmd/tuliprock/daemon.go
+++ b/cmd/tuliprock/daemon.go
@@ -48,7 +48,7 @@
 		if c.Listen != currentConfig.Listen || c.Limits != currentConfig.Limits {
 			log.Warn("listen and limits change with a restart only")
 		}
-		*currentConfig = currentConfig.WithReloadable(c)
+		*currentConfig = currentConfig.WithAgentAddressOf(c)
 		return currentConfig.Service()
 	}
 }
--- a/cmd/tuliprock/faultschedule_test.go
+++ b/cmd/tuliprock/faultschedule_test.go
@@ -193,25 +193,25 @@
 	}
 	switch faultKind := s.rng.IntN(8); faultKind {
 	case 0:
-		s.network.SetLinksBetween(groupA, groupB, faultnet.Link{Cut: true})
+		s.network.SetLinksBetween(groupA, groupB, faultnet.Link{IsCut: true})
 		time.Sleep(duration)
 		s.network.Heal()
 		return "cut"
 	case 1: // two partitions in a row: a leader that was elected during the first one may be cut off at once
-		s.network.SetLinksBetween(groupA, groupB, faultnet.Link{Cut: true})
+		s.network.SetLinksBetween(groupA, groupB, faultnet.Link{IsCut: true})
 		time.Sleep(duration / 2)
 		s.network.Heal()
-		s.network.SetLinksBetween(groupB[:1], names, faultnet.Link{Cut: true})
+		s.network.SetLinksBetween(groupB[:1], names, faultnet.Link{IsCut: true})
 		time.Sleep(duration / 2)
 		s.network.Heal()
 		return "cuts"
 	case 2:
-		s.network.SetLinksOneWay(groupA, groupB, faultnet.Link{Cut: true})
+		s.network.SetLinksOneWay(groupA, groupB, faultnet.Link{IsCut: true})
 		time.Sleep(duration)
 		s.network.Heal()
 		return "one way"
 	case 3:
-		s.network.SetLinksBetween(names, names, faultnet.Link{Loss: 0.3, Delay: 20 * time.Millisecond, Jitter: 50 * time.Millisecond, Duplicate: 0.1})
+		s.network.SetLinksBetween(names, names, faultnet.Link{LossProbability: 0.3, Delay: 20 * time.Millisecond, Jitter: 50 * time.Millisecond, DuplicateProbability: 0.1})
 		time.Sleep(duration)
 		s.network.Heal()
 		return "loss"
--- a/cmd/tuliprock/load.go
+++ b/cmd/tuliprock/load.go
@@ -71,7 +71,7 @@
 	log.SetOutput(io.Discard) // discards the lines that net/http logs about unsolicited responses on idle connections
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	sender := loadgen.NewHTTP(request, c.Connections, nil)
+	sender := loadgen.NewHTTPSender(request, c.Connections, nil)
 	defer sender.Close()
 	result, err := loadgen.Run(ctx, c.options(), sender)
 	if err != nil {
@@ -83,7 +83,7 @@
 	switch {
 	case result.Interrupted:
 		return verdictError{errors.New("interrupted")}
-	case result.Invalid != "":
+	case result.InvalidReason != "":
 		return verdictError{errors.New("the run is not valid")}
 	}
 	return nil
--- a/cmd/tuliprock/load_merge.go
+++ b/cmd/tuliprock/load_merge.go
@@ -39,7 +39,7 @@
 	if err := writeLoadResult(merged, c.JSON); err != nil {
 		return verdictError{err}
 	}
-	if merged.Invalid != "" {
+	if merged.InvalidReason != "" {
 		return verdictError{errors.New("a run is not valid")}
 	}
 	return nil
--- a/cmd/tuliprock/overrides_test.go
+++ b/cmd/tuliprock/overrides_test.go
@@ -26,7 +26,7 @@
 	}
 
 	partitioned := c.daemons[4]
-	c.network.SetLinksBetween([]string{"s4"}, []string{"s0", "s1", "s2", "s3"}, faultnet.Link{Cut: true})
+	c.network.SetLinksBetween([]string{"s4"}, []string{"s0", "s1", "s2", "s3"}, faultnet.Link{IsCut: true})
 	testpeer.Eventually(t, "the partitioned daemon has no lease", func() bool { return strings.Contains(partitioned.callAdmin("settings"), "acting=false") })
 	c.callUntilActiveOnAll(c.daemons[0], "set-up "+firstNode)
 	c.awaitEjection(c.daemons[:4], 0, false)
--- a/cmd/tuliprock/settings_rollout.go
+++ b/cmd/tuliprock/settings_rollout.go
@@ -59,7 +59,7 @@
 func (f *rolloutFlags) awaitActiveOnAll(result *changeResult) error {
 	// The error of the last poll is dropped: after a timeout it adds nothing to the verdictError, and after a success there is none.
 	_, ok, _ := f.pollUntil(f.WaitTimeout, func(s *status.Settings) bool {
-		result.IsActiveOnAll, result.LaggingDaemons = s.FullyActiveVersion >= result.Version, s.LaggingDaemons
+		result.IsActiveOnAll, result.LaggingDaemons = s.OldestActiveVersion >= result.Version, s.LaggingDaemons
 		return result.IsActiveOnAll
 	})
 	if !ok {
--- a/cmd/tuliprock/streaming_test.go
+++ b/cmd/tuliprock/streaming_test.go
@@ -174,15 +174,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sender := loadgen.NewHTTP(request, connections, nil)
+	sender := loadgen.NewHTTPSender(request, connections, nil)
 	defer sender.Close()
 	result, err := loadgen.Run(t.Context(), loadgen.Options{Process: schedule.Process{Rate: schedule.Steady(800), Gaps: schedule.Even}, Seed: 1, Duration: duration,
 		ResponseTimeout: testpeer.Timeout, Connections: connections}, sender)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if result.Invalid != "" {
-		t.Log("the load run is not valid:", result.Invalid)
+	if result.InvalidReason != "" {
+		t.Log("the load run is not valid:", result.InvalidReason)
 	}
 	outcomes := result.CountByOutcome()
 	for outcome, n := range outcomes {
--- a/internal/admin/execute.go
+++ b/internal/admin/execute.go
@@ -22,8 +22,8 @@
 	WriteMetrics func(ctx context.Context, w io.Writer) error
 	// WritePeers writes the members of the cluster.
 	WritePeers func(w io.Writer) error
-	// WriteVersions writes the version of the cluster's settings that is in force.
-	WriteVersions func(w io.Writer) error
+	// WriteSettingsStatus writes the version of the cluster's settings that is in force.
+	WriteSettingsStatus func(w io.Writer) error
 	// HandleSettings executes a settings command with its arguments and body, and writes the result. It may keep body.
 	HandleSettings func(ctx context.Context, arguments string, body []byte, w io.Writer) error
 	// MaxBodyBytes is the maximum length in bytes of a command's body; 0 means that bodies are rejected.
@@ -49,7 +49,7 @@
 	case VerbSettings:
 		return multiLineResponse(func(w io.Writer) error { return s.handlers.HandleSettings(ctx, c.Arguments, body, w) })
 	case VerbVersions:
-		return multiLineResponse(s.handlers.WriteVersions)
+		return multiLineResponse(s.handlers.WriteSettingsStatus)
 	}
 	outcome, err := s.handlers.SetEjected(ctx, c.EndpointID, c.Verb == VerbSetDown)
 	if err != nil {
--- a/internal/body/memory_budget.go
+++ b/internal/body/memory_budget.go
@@ -16,8 +16,8 @@
 	lastID          int                   // ID of the most recent request
 }
 
-// Size is the amount of memory that a body needs, and whether the body is streaming or buffered.
-type Size struct {
+// MemoryRequest is the amount of memory that a body needs, and whether the body is streaming or buffered.
+type MemoryRequest struct {
 	Bytes       int
 	IsStreaming bool // the body is forwarded while it arrives and holds its memory until it ends
 }
@@ -25,7 +25,7 @@
 // waitingRequest is a request for memory that has not been granted yet.
 type waitingRequest struct {
 	id int
-	Size
+	MemoryRequest
 }
 
 // NewMemoryBudget returns a budget of total bytes, of which bufferedReserve are reserved for buffered bodies.
@@ -34,12 +34,12 @@
 }
 
 // Fits reports whether the size could be granted if nothing else were in use.
-func (b *MemoryBudget) Fits(s Size) bool {
+func (b *MemoryBudget) Fits(s MemoryRequest) bool {
 	return s.Bytes >= 0 && s.Bytes <= b.total && (!s.IsStreaming || s.Bytes <= b.total-b.bufferedReserve)
 }
 
 // Acquire requests memory. A request that can't be granted at once is queued under the returned ID, which is never 0.
-func (b *MemoryBudget) Acquire(s Size) (id int, granted bool) {
+func (b *MemoryBudget) Acquire(s MemoryRequest) (id int, granted bool) {
 	b.lastID++
 	queue := b.queueFor(s)
 	if queue.Len() == 0 && b.tryGrant(s) {
@@ -50,7 +50,7 @@
 }
 
 // Release releases granted memory, grants queued requests as far as they fit now, and returns their IDs.
-func (b *MemoryBudget) Release(s Size) []int {
+func (b *MemoryBudget) Release(s MemoryRequest) []int {
 	b.used -= s.Bytes
 	if s.IsStreaming {
 		b.usedByStreaming -= s.Bytes
@@ -66,7 +66,7 @@
 		return nil, false
 	}
 	delete(b.waiting, id)
-	b.queueFor(e.Value.(waitingRequest).Size).Remove(e)
+	b.queueFor(e.Value.(waitingRequest).MemoryRequest).Remove(e)
 	return b.grantWaiting(), true
 }
 
@@ -76,7 +76,7 @@
 // Waiting returns how many requests are queued.
 func (b *MemoryBudget) Waiting() int { return len(b.waiting) }
 
-func (b *MemoryBudget) queueFor(s Size) *list.List {
+func (b *MemoryBudget) queueFor(s MemoryRequest) *list.List {
 	if s.IsStreaming {
 		return &b.streamingQueue
 	}
@@ -84,7 +84,7 @@
 }
 
 // tryGrant grants the memory if it is free. A streaming body gets no memory while a buffered body waits.
-func (b *MemoryBudget) tryGrant(s Size) bool {
+func (b *MemoryBudget) tryGrant(s MemoryRequest) bool {
 	if b.used+s.Bytes > b.total {
 		return false
 	}
@@ -103,7 +103,7 @@
 	for _, queue := range []*list.List{&b.bufferedQueue, &b.streamingQueue} {
 		for e := queue.Front(); e != nil; e = queue.Front() {
 			r := e.Value.(waitingRequest)
-			if !b.tryGrant(r.Size) {
+			if !b.tryGrant(r.MemoryRequest) {
 				break
 			}
 			queue.Remove(e)
--- a/internal/body/memory_budget_test.go
+++ b/internal/body/memory_budget_test.go
@@ -10,9 +10,9 @@
 // budgetModel applies random operations to a MemoryBudget and tracks the requests that are granted and those that wait.
 type budgetModel struct {
 	budget           *MemoryBudget
-	total, reserve   int          // arguments of NewMemoryBudget, in bytes
-	sizes            map[int]Size // sizes of all requests, by ID
-	waiting, granted []int        // IDs of requests, the waiting ones in the order in which they were made
+	total, reserve   int                   // arguments of NewMemoryBudget, in bytes
+	sizes            map[int]MemoryRequest // sizes of all requests, by ID
+	waiting, granted []int                 // IDs of requests, the waiting ones in the order in which they were made
 }
 
 // recordGrants moves IDs from waiting to granted. It fails if a request was granted before an older one of the same kind.
@@ -35,7 +35,7 @@
 func (m *budgetModel) step(t *rapid.T) {
 	switch action := rapid.IntRange(0, 3).Draw(t, "action"); {
 	case action <= 1:
-		s := Size{rapid.IntRange(0, m.total).Draw(t, "bytes"), rapid.Bool().Draw(t, "streaming")}
+		s := MemoryRequest{rapid.IntRange(0, m.total).Draw(t, "bytes"), rapid.Bool().Draw(t, "streaming")}
 		if !m.budget.Fits(s) {
 			return
 		}
@@ -96,7 +96,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(1, 100).Draw(t, "total")
 		reserve := rapid.IntRange(0, total).Draw(t, "reserve")
-		m := &budgetModel{budget: NewMemoryBudget(total, reserve), total: total, reserve: reserve, sizes: map[int]Size{}}
+		m := &budgetModel{budget: NewMemoryBudget(total, reserve), total: total, reserve: reserve, sizes: map[int]MemoryRequest{}}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			m.step(t)
 			m.check(t)
@@ -108,7 +108,7 @@
 // have to wait longer.
 func TestStreamingBodyWaitsWhileBufferedOneWaits(t *testing.T) {
 	b := NewMemoryBudget(100, 0)
-	inUse, buffered, streaming := Size{Bytes: 60}, Size{Bytes: 60}, Size{Bytes: 30, IsStreaming: true}
+	inUse, buffered, streaming := MemoryRequest{Bytes: 60}, MemoryRequest{Bytes: 60}, MemoryRequest{Bytes: 30, IsStreaming: true}
 	if _, ok := b.Acquire(inUse); !ok {
 		t.Fatal("the first request was not granted")
 	}
--- a/internal/body/memory_pool.go
+++ b/internal/body/memory_pool.go
@@ -18,7 +18,7 @@
 var ErrExceedsMemory = errors.New("more than the memory for bodies")
 
 // bufferRequest is the Size of the memory that one streaming body needs: its buffer.
-var bufferRequest = Size{Bytes: BufferSize, IsStreaming: true}
+var bufferRequest = MemoryRequest{Bytes: BufferSize, IsStreaming: true}
 
 // MemoryPool limits the memory that all bodies of a process hold together. It is safe for concurrent use.
 type MemoryPool struct {
@@ -41,7 +41,7 @@
 // Acquire acquires memory for a body. It waits until the memory is granted, and returns ctx's error if ctx ends first. Free
 // memory is granted even if ctx has already ended. The error wraps ErrExceedsMemory for a size that can never be granted.
 // Acquired memory must be released with Release exactly once.
-func (p *MemoryPool) Acquire(ctx context.Context, s Size) error {
+func (p *MemoryPool) Acquire(ctx context.Context, s MemoryRequest) error {
 	p.mu.Lock()
 	if !p.budget.Fits(s) {
 		p.mu.Unlock()
@@ -72,7 +72,7 @@
 }
 
 // Release releases memory that Acquire granted.
-func (p *MemoryPool) Release(s Size) {
+func (p *MemoryPool) Release(s MemoryRequest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.notifyGranted(p.budget.Release(s))
--- a/internal/body/memory_pool_test.go
+++ b/internal/body/memory_pool_test.go
@@ -21,10 +21,10 @@
 	if _, err := p.AcquireBuffer(shortCtx); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("fourth buffer from a pool of four: error %v, want %v", err, context.DeadlineExceeded)
 	}
-	if err := p.Acquire(ctx, Size{BufferSize, false}); err != nil {
+	if err := p.Acquire(ctx, MemoryRequest{BufferSize, false}); err != nil {
 		t.Errorf("buffered body besides three streaming ones: error %v, want none", err)
 	}
-	if err := p.Acquire(ctx, Size{4*BufferSize + 1, false}); !errors.Is(err, ErrExceedsMemory) {
+	if err := p.Acquire(ctx, MemoryRequest{4*BufferSize + 1, false}); !errors.Is(err, ErrExceedsMemory) {
 		t.Errorf("more than the total: error %v, want %v", err, ErrExceedsMemory)
 	}
 }
--- a/internal/cluster/consensus/encoding_test.go
+++ b/internal/cluster/consensus/encoding_test.go
@@ -39,7 +39,7 @@
 				PendingVersion: 3, PendingDocs: map[string]Document{"a": document}, Duration: time.Second,
 				SlotHolders: []string{"v"}, ActiveVoters: []string{"s"}, VoterID: 4,
 				MayStartVoter: true, InitialVoters: []string{"f"}, DiskLost: true,
-				FullyActiveVersion: 5, Lagging: []LaggingDaemon{{"l", "y"}},
+				OldestActiveVersion: 5, Lagging: []LaggingDaemon{{"l", "y"}},
 			},
 			`{"Seq":1,"Version":2,"Docs":{"a":` + documentJSON + `},` +
 				`"Next":3,"Coming":{"a":` + documentJSON + `},"Lease":1000000000,` +
--- a/internal/cluster/consensus/lease_holder.go
+++ b/internal/cluster/consensus/lease_holder.go
@@ -47,8 +47,8 @@
 	rejectedVersion uint64              // latest version whose documents the daemon has checked and rejected; 0: none
 	rejectReason    string              // why the daemon rejected rejectedVersion
 
-	fullyActiveVersion uint64          // oldest version on which a daemon may still act, according to the latest grant; 0: not known
-	lagging            []LaggingDaemon // daemons that delay an activation, or do not act on the active version yet, according to the latest grant
+	oldestActiveVersion uint64          // oldest version on which a daemon may still act, according to the latest grant; 0: not known
+	lagging             []LaggingDaemon // daemons that delay an activation, or do not act on the active version yet, according to the latest grant
 }
 
 // NewLeaseHolder returns a holder without a lease. version and docs are the version on which the daemon acted before a
@@ -90,7 +90,7 @@
 	if g.Seq != h.seq || g.Version < h.leased.Version {
 		return
 	}
-	h.fullyActiveVersion, h.lagging = g.FullyActiveVersion, g.Lagging
+	h.oldestActiveVersion, h.lagging = g.OldestActiveVersion, g.Lagging
 	if g.ActiveDocs != nil { // the active version is checked before the pending one
 		h.offerForCheck(g.Version, g.ActiveDocs)
 	} else {
@@ -169,8 +169,8 @@
 	return l.Version, l.Docs, l.Version > 0 && (now < l.ExpiresAt || h.config.SkipExpiryCheck)
 }
 
-// FullyActiveVersion returns the oldest version on which a daemon of the cluster may still act, or 0 if it is not known, and
+// OldestActiveVersion returns the oldest version on which a daemon of the cluster may still act, or 0 if it is not known, and
 // the daemons that delay an activation or do not act on the active version yet. Both come from the latest grant.
-func (h *LeaseHolder) FullyActiveVersion() (version uint64, lagging []LaggingDaemon) {
-	return h.fullyActiveVersion, h.lagging
+func (h *LeaseHolder) OldestActiveVersion() (version uint64, lagging []LaggingDaemon) {
+	return h.oldestActiveVersion, h.lagging
 }
--- a/internal/cluster/consensus/lease_manager.go
+++ b/internal/cluster/consensus/lease_manager.go
@@ -19,8 +19,8 @@
 	leaderSince time.Duration            // instant at which the term began, by the leader's clock
 	daemons     map[string]*daemonLeases // daemons that may hold a lease, by name; Refresh drops those whose leases have expired
 
-	fullyActiveVersion uint64          // oldest version on which a daemon may still act, according to the latest Refresh; 0: not known
-	lagging            []LaggingDaemon // daemons that lagged at the latest Refresh, sorted by name
+	oldestActiveVersion uint64          // oldest version on which a daemon may still act, according to the latest Refresh; 0: not known
+	lagging             []LaggingDaemon // daemons that lagged at the latest Refresh, sorted by name
 }
 
 // daemonLeases has a daemon's latest request and the grants with which the daemon may hold a lease.
@@ -52,14 +52,14 @@
 // leads.
 func (m *LeaseManager) Grant(now time.Duration, r LeaseRequest, state *State) LeaseGrant {
 	grant := LeaseGrant{
-		Seq:                r.Seq,
-		Version:            state.ActiveVersion,
-		PendingVersion:     state.PendingVersion,
-		Duration:           m.leaseDuration(&r, state),
-		SlotHolders:        state.Voters(),
-		ActiveVoters:       state.activeVoterNames(),
-		FullyActiveVersion: m.fullyActiveVersion,
-		Lagging:            m.lagging[:min(len(m.lagging), maxLaggingDaemons)],
+		Seq:                 r.Seq,
+		Version:             state.ActiveVersion,
+		PendingVersion:      state.PendingVersion,
+		Duration:            m.leaseDuration(&r, state),
+		SlotHolders:         state.Voters(),
+		ActiveVoters:        state.activeVoterNames(),
+		OldestActiveVersion: m.oldestActiveVersion,
+		Lagging:             m.lagging[:min(len(m.lagging), maxLaggingDaemons)],
 	}
 	if r.ReadyVersion < state.ActiveVersion && r.RejectedVersion < state.ActiveVersion {
 		grant.ActiveDocs = state.ActiveDocs
@@ -109,7 +109,7 @@
 func (m *LeaseManager) Refresh(now time.Duration, state *State) {
 	maps.DeleteFunc(m.daemons, func(_ string, d *daemonLeases) bool { return now >= d.expiresAt() })
 	m.lagging = m.laggingDaemons(now, state)
-	m.fullyActiveVersion = m.oldestActiveVersion(now, state)
+	m.oldestActiveVersion = m.findOldestActiveVersion(now, state)
 }
 
 // VersionToActivate returns the pending version if it may be activated now, else 0. Each daemon that may hold a lease
@@ -193,9 +193,9 @@
 	return ""
 }
 
-// oldestActiveVersion returns the oldest version on which a daemon may still act. It returns 0, which means that the version
+// findOldestActiveVersion returns the oldest version on which a daemon may still act. It returns 0, which means that the version
 // is not known, while leases of earlier leaders may still be valid.
-func (m *LeaseManager) oldestActiveVersion(now time.Duration, state *State) uint64 {
+func (m *LeaseManager) findOldestActiveVersion(now time.Duration, state *State) uint64 {
 	if !m.predecessorsExpired(now) {
 		return 0
 	}
--- a/internal/cluster/consensus/lease_test.go
+++ b/internal/cluster/consensus/lease_test.go
@@ -190,7 +190,7 @@
 		t.Errorf("with a version that it can act on, the daemon acts on %d, valid %v; want 4, true; lagging: %v",
 			version, ok, m.laggingDaemons(now, state))
 	}
-	if version, lagging := accepting.FullyActiveVersion(); version != 4 || len(lagging) > 0 {
+	if version, lagging := accepting.OldestActiveVersion(); version != 4 || len(lagging) > 0 {
 		t.Errorf("all daemons act on %d, lagging: %v; want 4, and none", version, lagging)
 	}
 }
--- a/internal/cluster/raftnode/compatibility_test.go
+++ b/internal/cluster/raftnode/compatibility_test.go
@@ -264,7 +264,7 @@
 				f.checkDocuments(t, leased.Docs)
 				testpeer.Eventually(t, "the node votes, and its voter has applied the stored version", func() bool {
 					s := n.Status()
-					return s.IsVoter && s.CommittedVersion == f.version && s.PendingVersion == f.version && s.FullyActiveVersion == f.version
+					return s.IsVoter && s.AppliedVersion == f.version && s.PendingVersion == f.version && s.OldestActiveVersion == f.version
 				})
 				if s := n.Status(); !slices.Equal(s.ActiveVoters, f.voters) || s.Term <= f.term {
 					t.Errorf("active voters %q in term %d, want %q in a later term than %d", s.ActiveVoters, s.Term, f.voters, f.term)
--- a/internal/cluster/raftnode/leaseclient_test.go
+++ b/internal/cluster/raftnode/leaseclient_test.go
@@ -69,6 +69,6 @@
 	goodVersion := put("better")
 	waitActing(rejectingNode, goodVersion)
 	testpeer.Eventually(t, "both daemons report that all act on the latest version", func() bool {
-		return rejectingNode.Status().FullyActiveVersion == goodVersion && voterNode.Status().FullyActiveVersion == goodVersion
+		return rejectingNode.Status().OldestActiveVersion == goodVersion && voterNode.Status().OldestActiveVersion == goodVersion
 	})
 }
--- a/internal/cluster/status/settings.go
+++ b/internal/cluster/status/settings.go
@@ -9,24 +9,24 @@
 
 // Settings is the state of the agreed documents at one daemon. Its JSON form is documented for operators.
 type Settings struct {
-	Format             int             `json:"format"`             // number of the JSON format, always 1
-	ActiveVersion      uint64          `json:"version"`            // version of the documents on which this daemon acts
-	HasLease           bool            `json:"acting"`             // whether this daemon has a valid lease on ActiveVersion
-	LeaseMs            int64           `json:"lease_ms"`           // remaining time of this daemon's lease, in milliseconds; 0: it has expired
-	IsVoter            bool            `json:"votes"`              // whether this daemon runs a voter that is not a learner
-	IsLeader           bool            `json:"leads"`              // whether this daemon's voter takes itself for the leader
-	Leader             string          `json:"leader"`             // name of the voter that granted this daemon its latest lease, or to which this daemon sent a lease request after that
-	CommittedVersion   uint64          `json:"committed"`          // latest version that this daemon's voter has applied; 0: it runs no voter
-	PendingVersion     uint64          `json:"coming"`             // version to be activated next, as far as this daemon's voter knows; 0: it runs no voter
-	Term               uint64          `json:"term"`               // latest raft term that this daemon's voter has seen; 0: it runs no voter
-	FullyActiveVersion uint64          `json:"all"`                // oldest version on which a daemon of the cluster may still act; 0: not known
-	RejectedVersion    uint64          `json:"declined,omitempty"` // latest version on which this daemon can't act; 0: none
-	RejectionReason    string          `json:"why,omitempty"`      // why this daemon can't act on RejectedVersion
-	RejectedRequests   uint64          `json:"refused"`            // number of client requests that this daemon rejected because it had no valid lease
-	KnownVoters        string          `json:"voters"`             // names of the voters from which this daemon may request a lease, separated by commas
-	ActiveVoters       string          `json:"sitting"`            // names of the daemons that vote, as a leader last reported them, separated by commas
-	LaggingDaemons     []LaggingDaemon `json:"lags"`               // daemons that do not act on the latest version yet, so that the leader waits for them
-	Documents          []Document      `json:"documents"`          // agreed documents, without their bodies
+	Format              int             `json:"format"`             // number of the JSON format, always 1
+	ActiveVersion       uint64          `json:"version"`            // version of the documents on which this daemon acts
+	HasLease            bool            `json:"acting"`             // whether this daemon has a valid lease on ActiveVersion
+	LeaseMs             int64           `json:"lease_ms"`           // remaining time of this daemon's lease, in milliseconds; 0: it has expired
+	IsVoter             bool            `json:"votes"`              // whether this daemon runs a voter that is not a learner
+	IsLeader            bool            `json:"leads"`              // whether this daemon's voter takes itself for the leader
+	Leader              string          `json:"leader"`             // name of the voter that granted this daemon its latest lease, or to which this daemon sent a lease request after that
+	AppliedVersion      uint64          `json:"committed"`          // latest version that this daemon's voter has applied; 0: it runs no voter
+	PendingVersion      uint64          `json:"coming"`             // version to be activated next, as far as this daemon's voter knows; 0: it runs no voter
+	Term                uint64          `json:"term"`               // latest raft term that this daemon's voter has seen; 0: it runs no voter
+	OldestActiveVersion uint64          `json:"all"`                // oldest version on which a daemon of the cluster may still act; 0: not known
+	RejectedVersion     uint64          `json:"declined,omitempty"` // latest version on which this daemon can't act; 0: none
+	RejectionReason     string          `json:"why,omitempty"`      // why this daemon can't act on RejectedVersion
+	RejectedRequests    uint64          `json:"refused"`            // number of client requests that this daemon rejected because it had no valid lease
+	KnownVoters         string          `json:"voters"`             // names of the voters from which this daemon may request a lease, separated by commas
+	ActiveVoters        string          `json:"sitting"`            // names of the daemons that vote, as a leader last reported them, separated by commas
+	LaggingDaemons      []LaggingDaemon `json:"lags"`               // daemons that do not act on the latest version yet, so that the leader waits for them
+	Documents           []Document      `json:"documents"`          // agreed documents, without their bodies
 }
 
 // LaggingDaemon is a daemon for which the leader waits, since the daemon does not act on the latest version yet.
@@ -66,8 +66,8 @@
 func (s *Settings) Write(w io.Writer) error {
 	if _, err := fmt.Fprintf(w, "settings version=%d acting=%v lease_ms=%d votes=%v leads=%v leader=%s term=%d committed=%d "+
 		"coming=%d all=%d declined=%d why=%s refused=%d voters=%s sitting=%s\n",
-		s.ActiveVersion, s.HasLease, s.LeaseMs, s.IsVoter, s.IsLeader, s.Leader, s.Term, s.CommittedVersion,
-		s.PendingVersion, s.FullyActiveVersion, s.RejectedVersion, url.QueryEscape(s.RejectionReason), s.RejectedRequests, s.KnownVoters, s.ActiveVoters); err != nil {
+		s.ActiveVersion, s.HasLease, s.LeaseMs, s.IsVoter, s.IsLeader, s.Leader, s.Term, s.AppliedVersion,
+		s.PendingVersion, s.OldestActiveVersion, s.RejectedVersion, url.QueryEscape(s.RejectionReason), s.RejectedRequests, s.KnownVoters, s.ActiveVoters); err != nil {
 		return err
 	}
 	for _, l := range s.LaggingDaemons {
@@ -91,7 +91,7 @@
 	err := parseFields(line, lineFields{
 		"settings": {
 			"version": &s.ActiveVersion, "acting": &s.HasLease, "lease_ms": &s.LeaseMs, "votes": &s.IsVoter, "leads": &s.IsLeader,
-			"leader": &s.Leader, "term": &s.Term, "committed": &s.CommittedVersion, "coming": &s.PendingVersion, "all": &s.FullyActiveVersion,
+			"leader": &s.Leader, "term": &s.Term, "committed": &s.AppliedVersion, "coming": &s.PendingVersion, "all": &s.OldestActiveVersion,
 			"declined": &s.RejectedVersion, "why": (*escapedText)(&s.RejectionReason), "refused": &s.RejectedRequests, "voters": &s.KnownVoters,
 			"sitting": &s.ActiveVoters,
 		},
--- a/internal/cluster/status/status_test.go
+++ b/internal/cluster/status/status_test.go
@@ -15,7 +15,7 @@
 
 func TestSettingsAreTheSameAfterWriteAndParse(t *testing.T) {
 	want := &Settings{
-		Format: 1, ActiveVersion: 3, HasLease: true, LeaseMs: 70, IsVoter: true, Leader: "s0", CommittedVersion: 5, PendingVersion: 4, Term: 9, FullyActiveVersion: 2,
+		Format: 1, ActiveVersion: 3, HasLease: true, LeaseMs: 70, IsVoter: true, Leader: "s0", AppliedVersion: 5, PendingVersion: 4, Term: 9, OldestActiveVersion: 2,
 		RejectedVersion: 4, RejectionReason: "no such field: x", RejectedRequests: 3, KnownVoters: "a,b,c", ActiveVoters: "a,b",
 		LaggingDaemons: []LaggingDaemon{{"a", "it can't act: 50 %"}, {"b", ""}},
 		Documents:      []Document{{"out/x", 2, "s1", 0, "e3"}, {"out/y", 3, "s2", 7, "e4"}},
--- a/internal/cluster/status/wireformat_test.go
+++ b/internal/cluster/status/wireformat_test.go
@@ -18,8 +18,8 @@
 	}}
 	fleet := FleetFromView(view, 3*time.Second, 2, 1)
 	settings := &Settings{
-		Format: 1, ActiveVersion: 3, HasLease: true, LeaseMs: 70, IsVoter: true, IsLeader: true, Leader: "s0", CommittedVersion: 5, PendingVersion: 4,
-		Term: 9, FullyActiveVersion: 2, RejectedVersion: 4, RejectionReason: "no such field: x", RejectedRequests: 3, KnownVoters: "a,b,c", ActiveVoters: "a,b",
+		Format: 1, ActiveVersion: 3, HasLease: true, LeaseMs: 70, IsVoter: true, IsLeader: true, Leader: "s0", AppliedVersion: 5, PendingVersion: 4,
+		Term: 9, OldestActiveVersion: 2, RejectedVersion: 4, RejectionReason: "no such field: x", RejectedRequests: 3, KnownVoters: "a,b,c", ActiveVoters: "a,b",
 		LaggingDaemons: []LaggingDaemon{{"a", "it can't act: 50 %"}}, Documents: []Document{{"out/x", 2, "s1", 5, "e3"}},
 	}
 	result := &CommandResult{
--- a/internal/cluster/transport/authentication.go
+++ b/internal/cluster/transport/authentication.go
@@ -31,9 +31,9 @@
 	packetFieldMessage
 )
 
-// MaxOverheadBytes is the maximum length of a signed packet without the message of the failure detector in it: header,
+// MaxPacketOverheadBytes is the maximum length of a signed packet without the message of the failure detector in it: header,
 // authentication code, cluster name, sequence number, and the tag and length of the message.
-const MaxOverheadBytes = headerBytes + macBytes + 2 + swim.MaxNameBytes + 9 + 3
+const MaxPacketOverheadBytes = headerBytes + macBytes + 2 + swim.MaxNameBytes + 9 + 3
 
 // packet is the content of an authenticated packet. Either swimMessage or message is set.
 type packet struct {
--- a/internal/cluster/transport/transport.go
+++ b/internal/cluster/transport/transport.go
@@ -126,8 +126,8 @@
 // View returns the latest published view. The caller must not modify the view, which all callers share.
 func (t *Transport) View() *swim.View { return t.view.Load() }
 
-// Changed returns a channel that holds a value if the view has changed since the last receive from the channel.
-func (t *Transport) Changed() <-chan struct{} { return t.viewChanged }
+// ViewChanged returns a channel that holds a value if the view has changed since the last receive from the channel.
+func (t *Transport) ViewChanged() <-chan struct{} { return t.viewChanged }
 
 // Reconfigure replaces Keys, Join, Voters and Timing. The other options stay as they were passed to Start.
 func (t *Transport) Reconfigure(options Options) {
--- a/internal/config/documents.go
+++ b/internal/config/documents.go
@@ -107,7 +107,7 @@
 		return tomlFile.Errorf("shared.unsure", `must be "keep" unless fleet.agreed is true`)
 	}
 	for i, p := range f.Pool {
-		if p.Members != "" {
+		if p.MembersSource != "" {
 			return tomlFile.Errorf(fmt.Sprintf("pool[%d].members", i), "must be left out unless fleet.agreed is true")
 		}
 	}
--- a/internal/config/file_service.go
+++ b/internal/config/file_service.go
@@ -19,10 +19,10 @@
 func (f *File) Service() Service {
 	s := Service{
 		Name: f.Daemon.Name, File: f, Listeners: f.Listener, Table: f.table, Cluster: f.clusterSpec(),
-		AdminAddress: f.Daemon.AdminAddr, OperatorConnections: f.maxOperatorConnections(),
+		AdminAddress: f.Daemon.AdminAddr, MaxOperatorConnections: f.maxOperatorConnections(),
 		Limits:                   Limits{Cores: f.Daemon.Cores, MemoryMB: f.Daemon.MemoryMB},
 		RejectsWhenIndeterminate: f.Shared.OnIndeterminate == rejectRequests,
-		BodyMemory:               f.Daemon.BodyMemoryMB << 20, DrainTimeout: f.Daemon.DrainTimeout, TerminationGrace: terminationGrace(0),
+		BodyMemoryBytes:          f.Daemon.BodyMemoryMB << 20, DrainTimeout: f.Daemon.DrainTimeout, TerminationGrace: terminationGrace(0),
 	}
 	classes := map[string]*Class{}
 	for i := range f.Class {
@@ -54,7 +54,7 @@
 func (f *File) poolSpec(p *Pool, classes []string) PoolSpec {
 	return PoolSpec{
 		Name: p.Name, Settings: f.balanceSettings(p, classes), Source: f.sourceSpec(p),
-		Connections: p.Connections, DialTimeout: p.DialTimeout, IdleTimeout: p.IdleTimeout, DialsRatherThanWaits: true,
+		MaxConnections: p.MaxConnections, DialTimeout: p.DialTimeout, IdleTimeout: p.IdleTimeout, DialsRatherThanWaits: true,
 		StartsAtLastByte: p.StartAt == startAtLastByte, MaxResponseBytes: p.MaxResponseBytes,
 		MinStreamRate: body.MinimumRate{IdleTimeout: p.StreamIdleTimeout, BytesPerSecond: p.MinStreamRate}, BufferedResponseTimeout: p.StreamIdleTimeout,
 	}
@@ -63,8 +63,8 @@
 // balanceSettings returns the settings of a pool's balancer. classes are the names of the classes whose requests are routed to the pool.
 func (f *File) balanceSettings(p *Pool, classes []string) balance.Settings {
 	settings := balance.Settings{
-		Seed: f.Daemon.Seed, Balancers: f.Daemon.DaemonCount, Index: f.Daemon.Index, Tier: p.Tier, TiersBelow: p.TiersBelow,
-		MaxAttempts: p.Attempts, CanCancel: true, MaxRetryAfter: p.MaxRetryAfter, TimerResolution: maxTimerDelay,
+		Seed: f.Daemon.Seed, BalancerCount: f.Daemon.DaemonCount, BalancerIndex: f.Daemon.Index, Tier: p.Tier, TiersBelow: p.TiersBelow,
+		MaxAttempts: p.MaxAttempts, CanCancel: true, MaxRetryAfter: p.MaxRetryAfter, TimerResolution: maxTimerDelay,
 		SlowStartCapacity: p.SlowStartCapacity, SlowStartDuration: p.SlowStartDuration,
 	}
 	for _, c := range f.Class {
@@ -81,7 +81,7 @@
 
 // sourceSpec returns where a pool's endpoints come from.
 func (f *File) sourceSpec(p *Pool) SourceSpec {
-	if p.Members == membersAgreedByCluster { // consensus has confirmed the list, so HoldLastGood and FlapDamping do not apply
+	if p.MembersSource == membersAgreedByCluster { // consensus has confirmed the list, so HoldLastGood and FlapDamping do not apply
 		return SourceSpec{Members: f.agreedMembers[p.Name]}
 	}
 	return SourceSpec{Agent: p.Agent, Members: p.Member, File: p.File, DNS: p.DNS, HoldLastGood: p.HoldLastGood, FlapDamping: p.FlapDamping}
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -71,10 +71,10 @@
 	if c := f.Class[0]; c.Deadline != 3*time.Second || c.LatencyObjective != 1500*time.Millisecond || c.MaxDeadline != time.Minute || c.IDHeader != "Req-Id" || c.DedupScope != "all" {
 		t.Errorf("class %+v, want default values in the fields that the file leaves out", c)
 	}
-	if p := f.Pool[0]; p.Attempts != 4 || p.SlowStartCapacity != 0.3 || p.Member[0].ID != "127.0.0.1:9001" || p.Member[1].ID != "two" {
+	if p := f.Pool[0]; p.MaxAttempts != 4 || p.SlowStartCapacity != 0.3 || p.Member[0].ID != "127.0.0.1:9001" || p.Member[1].ID != "two" {
 		t.Errorf("pool %+v, want default values in the fields that the file leaves out", p)
 	}
-	if l := f.Listener[0]; l.Connections != 500 || l.BodyBytes != 64<<10 || l.Forwarded != "set" {
+	if l := f.Listener[0]; l.MaxConnections != 500 || l.MaxBodyBytes != 64<<10 || l.Forwarded != "set" {
 		t.Errorf("listener %+v, want default values in the fields that the file leaves out", l)
 	}
 	if i, ok := f.Table().Match(&route.Request{Host: "a.site.example", Path: "/web/x", Method: "GET"}); !ok || i != 1 {
--- a/internal/config/listener.go
+++ b/internal/config/listener.go
@@ -11,17 +11,17 @@
 
 // Listener is a section [[listener]] of an operators' file: an address that clients connect to, and the limits of connections to it.
 type Listener struct {
-	Name         string        `toml:"name"`
-	Address      string        `toml:"address"`       // host:port to listen on
-	Connections  int           `toml:"connections"`   // maximum number of open client connections
-	HeadBytes    int           `toml:"head_bytes"`    // maximum size in bytes of a request line with its headers
-	BodyBytes    int64         `toml:"body_bytes"`    // maximum size in bytes of a request body
-	HeadTimeout  time.Duration `toml:"head_timeout"`  // time limit for the arrival of a request's head
-	BodyTimeout  time.Duration `toml:"body_timeout"`  // time limit for the arrival of a buffered body, after the head
-	IdleTimeout  time.Duration `toml:"idle_timeout"`  // maximum time between two requests on a connection
-	WriteTimeout time.Duration `toml:"write_timeout"` // time limit for sending a response
-	Forwarded    string        `toml:"forwarded"`     // handling of forwarding headers: "set", "append", "drop" or "leave"
-	RetryAfter   string        `toml:"retry_after"`   // format of the Retry-After header: "seconds" (RFC 9110) or "fraction"
+	Name             string        `toml:"name"`
+	Address          string        `toml:"address"`       // host:port to listen on
+	MaxConnections   int           `toml:"connections"`   // maximum number of open client connections
+	MaxHeadBytes     int           `toml:"head_bytes"`    // maximum size in bytes of a request line with its headers
+	MaxBodyBytes     int64         `toml:"body_bytes"`    // maximum size in bytes of a request body
+	HeadTimeout      time.Duration `toml:"head_timeout"`  // time limit for the arrival of a request's head
+	BodyTimeout      time.Duration `toml:"body_timeout"`  // time limit for the arrival of a buffered body, after the head
+	IdleTimeout      time.Duration `toml:"idle_timeout"`  // maximum time between two requests on a connection
+	WriteTimeout     time.Duration `toml:"write_timeout"` // time limit for sending a response
+	Forwarded        string        `toml:"forwarded"`     // handling of forwarding headers: "set", "append", "drop" or "leave"
+	RetryAfterFormat string        `toml:"retry_after"`   // format of the Retry-After header: "seconds" (RFC 9110) or "fraction"
 
 	StreamIdleTimeout time.Duration `toml:"flow_idle"` // longest wait for the client's next byte while a body streams
 	MinStreamRate     int64         `toml:"flow_rate"` // minimum rate of a client's streaming body in bytes per second; 0 for no minimum
@@ -67,18 +67,18 @@
 // are not set, since the platform has other defaults.
 func defaultListener() Listener {
 	return Listener{
-		Connections: defaultConnections, HeadBytes: defaultHeadBytes, BodyBytes: defaultBodyBytes,
+		MaxConnections: defaultConnections, MaxHeadBytes: defaultHeadBytes, MaxBodyBytes: defaultBodyBytes,
 		HeadTimeout: 1500 * time.Millisecond, BodyTimeout: time.Second,
 		IdleTimeout: 5 * time.Second, WriteTimeout: 5 * time.Second,
-		Forwarded: forwardedSet, RetryAfter: retryAfterSeconds,
+		Forwarded: forwardedSet, RetryAfterFormat: retryAfterSeconds,
 	}
 }
 
 func (l *Listener) applyDefaults(tomlFile *tomlfile.File, table string) {
 	defaults := defaultListener()
-	setDefault(tomlFile, table+".connections", &l.Connections, defaults.Connections)
-	setDefault(tomlFile, table+".head_bytes", &l.HeadBytes, defaults.HeadBytes)
-	setDefault(tomlFile, table+".body_bytes", &l.BodyBytes, defaults.BodyBytes)
+	setDefault(tomlFile, table+".connections", &l.MaxConnections, defaults.MaxConnections)
+	setDefault(tomlFile, table+".head_bytes", &l.MaxHeadBytes, defaults.MaxHeadBytes)
+	setDefault(tomlFile, table+".body_bytes", &l.MaxBodyBytes, defaults.MaxBodyBytes)
 	setDefault(tomlFile, table+".head_timeout", &l.HeadTimeout, defaults.HeadTimeout)
 	setDefault(tomlFile, table+".body_timeout", &l.BodyTimeout, defaults.BodyTimeout)
 	setDefault(tomlFile, table+".idle_timeout", &l.IdleTimeout, defaults.IdleTimeout)
@@ -86,7 +86,7 @@
 	setDefault(tomlFile, table+".flow_idle", &l.StreamIdleTimeout, defaultStreamIdleTimeout)
 	setDefault(tomlFile, table+".flow_rate", &l.MinStreamRate, defaultMinStreamRate)
 	setIfEmpty(&l.Forwarded, defaults.Forwarded)
-	setIfEmpty(&l.RetryAfter, defaults.RetryAfter)
+	setIfEmpty(&l.RetryAfterFormat, defaults.RetryAfterFormat)
 }
 
 func (f *File) checkListeners(tomlFile *tomlfile.File) error {
@@ -112,9 +112,9 @@
 		tomlfile.Require("name", names.add(l.Name), "a unique name"),
 		tomlfile.Require("address", isAddress(l.Address), "host:port"),
 		tomlfile.Require("address", isUniqueAddress, "an address that no other listener has"),
-		tomlfile.Require("connections", l.Connections >= 1 && l.Connections <= maxConnections, "from 1 to 1000000"),
-		tomlfile.Require("head_bytes", l.HeadBytes >= minHeadBytes && l.HeadBytes <= maxHeadBytes, "from 1024 to 1048576"),
-		tomlfile.Require("body_bytes", l.BodyBytes >= 0 && l.BodyBytes <= maxBodyBytes, fmt.Sprintf("from 0 to %d", maxBodyBytes)),
+		tomlfile.Require("connections", l.MaxConnections >= 1 && l.MaxConnections <= maxConnections, "from 1 to 1000000"),
+		tomlfile.Require("head_bytes", l.MaxHeadBytes >= minHeadBytes && l.MaxHeadBytes <= maxHeadBytes, "from 1024 to 1048576"),
+		tomlfile.Require("body_bytes", l.MaxBodyBytes >= 0 && l.MaxBodyBytes <= maxBodyBytes, fmt.Sprintf("from 0 to %d", maxBodyBytes)),
 		tomlfile.Require("head_timeout", l.HeadTimeout > 0, "over 0"),
 		tomlfile.Require("body_timeout", l.BodyTimeout > 0, "over 0"),
 		tomlfile.Require("idle_timeout", l.IdleTimeout > 0, "over 0"),
@@ -122,7 +122,7 @@
 		tomlfile.Require("flow_idle", l.StreamIdleTimeout > 0, "over 0"),
 		tomlfile.Require("flow_rate", l.MinStreamRate >= 0, "0 or more"),
 		tomlfile.Require("forwarded", slices.Contains(forwardedValues, l.Forwarded), `"set", "append", "drop" or "leave"`),
-		tomlfile.Require("retry_after", l.RetryAfter == retryAfterSeconds || l.RetryAfter == retryAfterFraction,
+		tomlfile.Require("retry_after", l.RetryAfterFormat == retryAfterSeconds || l.RetryAfterFormat == retryAfterFraction,
 			`"seconds" or "fraction"`),
 	})
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -136,9 +136,9 @@
 	return nil
 }
 
-// WithReloadable returns the configuration with the address of the discovery agent from a later one. A running sidecar can adopt
+// WithAgentAddressOf returns the configuration with the address of the discovery agent from a later one. A running sidecar can adopt
 // that address, and keeps its endpoint list and all measurements of endpoints. Any other change needs a restart.
-func (c Config) WithReloadable(later Config) Config {
+func (c Config) WithAgentAddressOf(later Config) Config {
 	c.Discovery = later.Discovery
 	return c
 }
--- a/internal/config/platform_service.go
+++ b/internal/config/platform_service.go
@@ -46,11 +46,11 @@
 	}
 	s := Service{
 		Name: c.Name, Limits: c.Limits, Table: table, Targets: targets,
-		AdminAddress: c.AdminAddress, OperatorConnections: c.maxOperatorConnections(),
+		AdminAddress: c.AdminAddress, MaxOperatorConnections: c.maxOperatorConnections(),
 	}
 	s.TerminationGrace = terminationGrace(c.Settings.LongestClientWait)
 	s.DrainTimeout = s.TerminationGrace - abortReportTime
-	s.BodyMemory = c.Limits.MemoryMB << 20 / platformBodyMemoryDivisor
+	s.BodyMemoryBytes = c.Limits.MemoryMB << 20 / platformBodyMemoryDivisor
 	connectionLimit := s.ConnectionsWithin(c.Limits.Sockets)
 	listener, pool := c.platformListener(connectionLimit), c.platformPool(connectionLimit, settings)
 	if c.ListenDescriptor > 0 { // several processes of the sidecar may run at a time and share the inherited socket
@@ -70,9 +70,9 @@
 
 func (c Config) platformListener(connectionLimit int) Listener {
 	l := defaultListener()
-	l.Name, l.Address, l.Connections, l.UsesRawTargets = platformName, c.Listen, connectionLimit, true
-	l.Forwarded, l.RetryAfter = forwardedLeave, retryAfterFraction
-	l.HeadTimeout, l.BodyTimeout, l.BodyBytes = platformHeadTimeout, platformBodyTimeout, platformMaxBodyBytes
+	l.Name, l.Address, l.MaxConnections, l.UsesRawTargets = platformName, c.Listen, connectionLimit, true
+	l.Forwarded, l.RetryAfterFormat = forwardedLeave, retryAfterFraction
+	l.HeadTimeout, l.BodyTimeout, l.MaxBodyBytes = platformHeadTimeout, platformBodyTimeout, platformMaxBodyBytes
 	l.StreamIdleTimeout, l.MinStreamRate = platformStreamIdleTimeout, platformMinStreamRate
 	return l
 }
@@ -80,7 +80,7 @@
 func (c Config) platformPool(connectionLimit int, settings balance.Settings) PoolSpec {
 	return PoolSpec{
 		Name: platformName, Settings: settings, Source: SourceSpec{Agent: c.Discovery, LastUpdate: c.LastUpdate},
-		Connections: connectionLimit, DialTimeout: c.Settings.DialTimeout, IdleTimeout: c.Settings.IdleConnectionTimeout,
+		MaxConnections: connectionLimit, DialTimeout: c.Settings.DialTimeout, IdleTimeout: c.Settings.IdleConnectionTimeout,
 		StartsAtLastByte: true, AcceptsOnlyStatusOK: true, MaxResponseBytes: platformMaxBodyBytes,
 		MinStreamRate: body.MinimumRate{IdleTimeout: platformStreamIdleTimeout},
 	}
--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -13,11 +13,11 @@
 // Pool is a section [[pool]] of an operators' file: endpoints that serve the same requests, and the settings of their balancer. The
 // endpoints come from exactly one of Member, Agent, File, DNS and Members.
 type Pool struct {
-	Name        string        `toml:"name"`
-	Attempts    int           `toml:"attempts"`     // maximum number of attempts for one request
-	Connections int           `toml:"connections"`  // maximum number of connections to all endpoints together
-	DialTimeout time.Duration `toml:"dial_timeout"` // time limit for establishing a connection
-	IdleTimeout time.Duration `toml:"idle_timeout"` // how long a connection may be idle and still be reused
+	Name           string        `toml:"name"`
+	MaxAttempts    int           `toml:"attempts"`     // maximum number of attempts for one request
+	MaxConnections int           `toml:"connections"`  // maximum number of connections to all endpoints together
+	DialTimeout    time.Duration `toml:"dial_timeout"` // time limit for establishing a connection
+	IdleTimeout    time.Duration `toml:"idle_timeout"` // how long a connection may be idle and still be reused
 
 	SlowStartCapacity float64       `toml:"cold_from"` // fraction of its capacity that a new endpoint starts with
 	SlowStartDuration time.Duration `toml:"cold_for"`  // time after which a new endpoint has its full capacity
@@ -31,11 +31,11 @@
 	StreamIdleTimeout time.Duration `toml:"flow_idle"`    // longest time that an endpoint may transfer no byte while a body streams
 	MinStreamRate     int64         `toml:"flow_rate"`    // minimum rate of an endpoint's streaming body in bytes per second; 0 for no minimum
 
-	Member  []Member `toml:"member"`  // fixed list of endpoints
-	Agent   string   `toml:"agent"`   // host:port of the platform's discovery agent
-	File    string   `toml:"file"`    // path of a members file
-	DNS     *DNS     `toml:"dns"`     // DNS name that resolves to the endpoints
-	Members string   `toml:"members"` // "agreed" for a list that the cluster agrees on; empty otherwise
+	Member        []Member `toml:"member"`  // fixed list of endpoints
+	Agent         string   `toml:"agent"`   // host:port of the platform's discovery agent
+	File          string   `toml:"file"`    // path of a members file
+	DNS           *DNS     `toml:"dns"`     // DNS name that resolves to the endpoints
+	MembersSource string   `toml:"members"` // "agreed" for a list that the cluster agrees on; empty otherwise
 
 	HoldLastGood time.Duration `toml:"hold"` // how long the last good list is kept while the source fails or lists no members
 	FlapDamping  time.Duration `toml:"damp"` // delay before an endpoint that starts to flap is used again; doubles with further flaps
@@ -101,10 +101,10 @@
 )
 
 func (p *Pool) applyDefaults(tomlFile *tomlfile.File, table string) {
-	setDefault(tomlFile, table+".attempts", &p.Attempts, defaultMaxAttempts)
+	setDefault(tomlFile, table+".attempts", &p.MaxAttempts, defaultMaxAttempts)
 	setDefault(tomlFile, table+".cold_from", &p.SlowStartCapacity, defaultSlowStartCapacity)
 	setDefault(tomlFile, table+".cold_for", &p.SlowStartDuration, defaultSlowStartDuration)
-	setDefault(tomlFile, table+".connections", &p.Connections, defaultConnections)
+	setDefault(tomlFile, table+".connections", &p.MaxConnections, defaultConnections)
 	setDefault(tomlFile, table+".dial_timeout", &p.DialTimeout, defaultDialTimeout)
 	setDefault(tomlFile, table+".idle_timeout", &p.IdleTimeout, defaultPoolIdleTimeout)
 	setDefault(tomlFile, table+".retry_after_most", &p.MaxRetryAfter, defaultMaxRetryAfter)
@@ -142,9 +142,9 @@
 func (p *Pool) check(tomlFile *tomlfile.File, table string, names uniqueNames) error {
 	if err := tomlFile.Check(table, []tomlfile.Requirement{
 		tomlfile.Require("name", names.add(p.Name), "a unique name"),
-		tomlfile.Require("attempts", p.Attempts >= 1 && p.Attempts <= maxAttempts, "from 1 to 100"),
+		tomlfile.Require("attempts", p.MaxAttempts >= 1 && p.MaxAttempts <= maxAttempts, "from 1 to 100"),
 		tomlfile.Require("cold_from", p.SlowStartCapacity > 0 && p.SlowStartCapacity <= 1, "over 0, and 1 at most"),
-		tomlfile.Require("connections", p.Connections >= 1 && p.Connections <= maxConnections, "from 1 to 1000000"),
+		tomlfile.Require("connections", p.MaxConnections >= 1 && p.MaxConnections <= maxConnections, "from 1 to 1000000"),
 		tomlfile.Require("dial_timeout", p.DialTimeout > 0, "over 0"),
 		tomlfile.Require("idle_timeout", p.IdleTimeout > 0, "over 0"),
 		tomlfile.Require("tier", p.Tier >= 0 && p.Tier <= maxTiers, "from 0 to 100"),
@@ -163,7 +163,7 @@
 // checkSource checks that the pool has exactly one source of endpoints, and that the fields members and dns are valid.
 func (p *Pool) checkSource(tomlFile *tomlfile.File, table string) error {
 	sourceCount := 0
-	for _, isGiven := range []bool{len(p.Member) > 0, p.Agent != "", p.File != "", p.DNS != nil, p.Members != ""} {
+	for _, isGiven := range []bool{len(p.Member) > 0, p.Agent != "", p.File != "", p.DNS != nil, p.MembersSource != ""} {
 		if isGiven {
 			sourceCount++
 		}
@@ -171,7 +171,7 @@
 	if sourceCount != 1 {
 		return tomlFile.Errorf(table, "must have exactly one of member, agent, file, dns and members")
 	}
-	if p.Members != "" && p.Members != membersAgreedByCluster {
+	if p.MembersSource != "" && p.MembersSource != membersAgreedByCluster {
 		return tomlFile.Errorf(table+".members", `must be "agreed"`)
 	}
 	if p.DNS == nil {
@@ -207,8 +207,8 @@
 	return nil
 }
 
-// StaticMembers converts members from their form in an operators' file to that of package endpointset.
-func StaticMembers(members []Member) []endpointset.Member {
+// EndpointsetMembers converts members from their form in an operators' file to that of package endpointset.
+func EndpointsetMembers(members []Member) []endpointset.Member {
 	var out []endpointset.Member
 	for _, m := range members {
 		out = append(out, endpointset.Member{ID: m.ID, Addr: m.Address, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell,
@@ -217,7 +217,7 @@
 	return out
 }
 
-// fileMembers converts members from their form in package endpointset to that in an operators' file. It is the inverse of StaticMembers.
+// fileMembers converts members from their form in package endpointset to that in an operators' file. It is the inverse of EndpointsetMembers.
 func fileMembers(members []endpointset.Member) []Member {
 	var out []Member
 	for _, m := range members {
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -14,7 +14,7 @@
 type Service struct {
 	Name                     string
 	AdminAddress             string       // address to listen on for operators' commands; empty for none
-	OperatorConnections      int          // maximum number of connections to AdminAddress
+	MaxOperatorConnections   int          // maximum number of connections to AdminAddress
 	SharedDir                string       // directory shared by all processes of the sidecar; empty if only one runs at a time
 	Cluster                  *ClusterSpec // settings of the cluster; nil if this daemon is not part of one
 	Limits                   Limits       // resource limits; a value of 0 means the system's own limit
@@ -25,7 +25,7 @@
 	File                     *File        // operators' file that the Service was converted from; nil if it is from the platform's file
 	RejectsWhenIndeterminate bool         // requests are rejected while it is indeterminate which version of the settings other daemons act on
 
-	BodyMemory       int           // memory budget for bodies in bytes; 0 if all bodies are buffered and need a Content-Length
+	BodyMemoryBytes  int           // memory budget for bodies in bytes; 0 if all bodies are buffered and need a Content-Length
 	DrainTimeout     time.Duration // time from the shutdown signal until bodies that are still streaming are aborted
 	TerminationGrace time.Duration // time from the shutdown signal until the process may be killed
 }
@@ -34,7 +34,7 @@
 type PoolSpec struct {
 	Name                     string
 	Settings                 balance.Settings // balancer's settings; a random seed is drawn if Settings.Seed is 0
-	Connections              int              // maximum number of connections to all endpoints together
+	MaxConnections           int              // maximum number of connections to all endpoints together
 	DialTimeout, IdleTimeout time.Duration    // time limits for dialing, and for a connection without requests
 	StartsAtLastByte         bool             // endpoints start on a request only after its last byte has arrived
 	MaxResponseBytes         int64            // maximum size of a response body in bytes; 0 for no limit
@@ -98,10 +98,10 @@
 func (s *Service) MaxDescriptors() int {
 	total := s.ReservedDescriptors()
 	for _, l := range s.Listeners {
-		total += l.Connections + SpareConnections
+		total += l.MaxConnections + SpareConnections
 	}
 	for _, p := range s.Pools {
-		total += p.Connections
+		total += p.MaxConnections
 	}
 	return total
 }
@@ -115,9 +115,9 @@
 // ReservedDescriptors returns the number of descriptors that are reserved for everything except connections to clients and endpoints.
 func (s *Service) ReservedDescriptors() int {
 	if s.Cluster != nil {
-		return internalDescriptors + s.OperatorConnections + clusterDescriptors
+		return internalDescriptors + s.MaxOperatorConnections + clusterDescriptors
 	}
-	return internalDescriptors + s.OperatorConnections
+	return internalDescriptors + s.MaxOperatorConnections
 }
 
 // After SIGTERM the platform waits for the longest deadline, at most 3 s, and another 0.7 s before it sends SIGKILL. Requests that are
--- a/internal/eventloop/attempt.go
+++ b/internal/eventloop/attempt.go
@@ -63,7 +63,7 @@
 func (l *Loop) handleAttemptEnded(now time.Duration, c *Call, outcome balance.Outcome, sentAt time.Duration, response upstream.Response) {
 	c.attemptsInFlight--
 	c.lastResponse = response
-	if upload := c.Message.Upload; upload != nil {
+	if upload := c.HTTPRequest.Upload; upload != nil {
 		outcome.BodyConsumed = upload.IsConsumed()
 		if upload.Err() != nil { // the client failed to send its body, which ends the request
 			l.ClientDisconnected(now, c)
--- a/internal/eventloop/call.go
+++ b/internal/eventloop/call.go
@@ -39,17 +39,17 @@
 // the other fields belong to the loop.
 type Call struct {
 	balance.Request
-	Message *upstream.Request
-	Replies chan Reply // receives the request's only Reply; the channel needs a buffer of one, since the loop must not block
+	HTTPRequest *upstream.Request
+	Replies     chan Reply // receives the request's only Reply; the channel needs a buffer of one, since the loop must not block
 
 	// ResponseTimeout is how long to wait for the response to a request with a streaming body, from the last byte of the body; 0
 	// means until the deadline.
 	ResponseTimeout time.Duration
 
-	// Guard, if not nil, is called by Submit before the balancer decides on the request. If it returns false, the request is
-	// shed at once, with GuardRetryAfter as its Retry-After.
-	Guard           func() bool
-	GuardRetryAfter time.Duration // Retry-After of a request that Guard sheds
+	// AcceptsRequests, if not nil, is called by Submit before the balancer decides on the request. If it returns false, the request is
+	// shed at once, with RejectionRetryAfter as its Retry-After.
+	AcceptsRequests     func() bool
+	RejectionRetryAfter time.Duration // Retry-After of a request that is shed because AcceptsRequests returns false
 
 	// IsClientConnected reports whether the client is still connected; nil means that the client never disconnects. The function
 	// must be safe to call from any goroutine. An attempt calls it right before its first byte is written, since the loop may be
@@ -75,8 +75,8 @@
 		c.Replies <- Reply{Verdict: Duplicate}
 		return
 	}
-	if c.Guard != nil && !c.Guard() {
-		c.Replies <- Reply{Verdict: Shed, RetryAfter: c.GuardRetryAfter}
+	if c.AcceptsRequests != nil && !c.AcceptsRequests() {
+		c.Replies <- Reply{Verdict: Shed, RetryAfter: c.RejectionRetryAfter}
 		return
 	}
 	l.calls[c.ID] = c
--- a/internal/eventloop/endpoints.go
+++ b/internal/eventloop/endpoints.go
@@ -14,7 +14,7 @@
 	listed := map[string]bool{}
 	for _, member := range list.Members {
 		update.Endpoints = append(update.Endpoints, balance.Endpoint{ID: member.ID, State: member.State, Zone: member.Zone,
-			Kind: member.Kind, Cell: member.Cell, Started: l.clock.fromUnixMillis(member.StartedMs)})
+			Kind: member.Kind, Cell: member.Cell, StartedAt: l.clock.fromUnixMillis(member.StartedMs)})
 		listed[member.ID] = true
 		if member.State == balance.Gone {
 			l.removeEndpoint(member.ID)
@@ -40,7 +40,7 @@
 
 // DiscoveryFailed reports that a watch of the endpoint list has ended, or that its source cannot be reached. It is called from an event.
 func (l *Loop) DiscoveryFailed(now time.Duration) {
-	l.balancer.EndpointList(now, balance.EndpointUpdate{Failed: true})
+	l.balancer.EndpointList(now, balance.EndpointUpdate{HasFailed: true})
 }
 
 // SetEjected ejects an endpoint by an operator's override, or restores it. It is called from an event.
--- a/internal/eventloop/host.go
+++ b/internal/eventloop/host.go
@@ -21,7 +21,7 @@
 	if c == nil {
 		return // the loop has no such request, so there is no outcome to report
 	}
-	outcome := balance.Outcome{ID: id, Attempt: len(c.cancelAttempts), Endpoint: endpoint}
+	outcome := balance.Outcome{ID: id, AttemptNumber: len(c.cancelAttempts), Endpoint: endpoint}
 	sentAt := h.clock.now()
 	ctx, cancel := context.WithTimeout(context.Background(), min(timeout, max(c.Deadline, c.StreamUntil)-sentAt))
 	c.cancelAttempts = append(c.cancelAttempts, cancel)
@@ -31,10 +31,10 @@
 		h.deferredEvents = append(h.deferredEvents, func(now time.Duration) { h.handleAttemptEnded(now, c, outcome, sentAt, upstream.Response{}) })
 		return
 	}
-	hooks := h.attemptHooks(c, outcome.Attempt)
+	hooks := h.attemptHooks(c, outcome.AttemptNumber)
 	go func() {
 		var response upstream.Response
-		outcome.Result, outcome.ReusedConnection, response = h.upstream.Attempt(ctx, endpoint, c.Message, hooks)
+		outcome.Result, outcome.ReusedConnection, response = h.upstream.Attempt(ctx, endpoint, c.HTTPRequest, hooks)
 		cancel()
 		h.Post(func(now time.Duration) { h.handleAttemptEnded(now, c, outcome, sentAt, response) })
 	}()
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -61,23 +61,23 @@
 	r.ids = append(r.ids, request.ID)
 }
 
-// A request whose guard returns false must be shed without reaching the balancer, and its id must be free afterwards.
-func TestGuardIsCalledBeforeBalancerDecides(t *testing.T) {
+// A request whose AcceptsRequests returns false must be shed without reaching the balancer, and its id must be free afterwards.
+func TestAcceptsRequestsIsCalledBeforeBalancerDecides(t *testing.T) {
 	l := New(NewBalancer, balance.Settings{}, nil, nil, slog.New(slog.DiscardHandler))
 	balancer := &requestRecorder{}
 	l.balancer = balancer
-	guardAllows := false
+	acceptsRequests := false
 	newCall := func() *Call {
-		return &Call{Request: balance.Request{ID: "r"}, Replies: make(chan Reply, 1), Guard: func() bool { return guardAllows }, GuardRetryAfter: time.Second}
+		return &Call{Request: balance.Request{ID: "r"}, Replies: make(chan Reply, 1), AcceptsRequests: func() bool { return acceptsRequests }, RejectionRetryAfter: time.Second}
 	}
 	firstCall := newCall()
 	l.Submit(clockStart, firstCall)
 	if r := <-firstCall.Replies; r.Verdict != Shed || r.RetryAfter != time.Second || len(balancer.ids) > 0 {
-		t.Errorf("the guard returned false: reply %+v, balancer was given %v, want verdict Shed, a Retry-After of 1 s and no request", r, balancer.ids)
+		t.Errorf("AcceptsRequests returned false: reply %+v, balancer was given %v, want verdict Shed, a Retry-After of 1 s and no request", r, balancer.ids)
 	}
-	guardAllows = true
+	acceptsRequests = true
 	l.Submit(clockStart, newCall())
 	if len(balancer.ids) != 1 {
-		t.Errorf("the guard returned true: balancer was given %v, want one request", balancer.ids)
+		t.Errorf("AcceptsRequests returned true: balancer was given %v, want one request", balancer.ids)
 	}
 }
--- a/internal/eventloop/order_test.go
+++ b/internal/eventloop/order_test.go
@@ -188,7 +188,7 @@
 	updateEndpoints("")(l.Now())
 	ctx, stopLoop := context.WithCancel(context.Background())
 	go l.Run(ctx)
-	c := &Call{Request: balance.Request{ID: "r", Class: "c"}, Message: &upstream.Request{}, Replies: make(chan Reply, 4)}
+	c := &Call{Request: balance.Request{ID: "r", Class: "c"}, HTTPRequest: &upstream.Request{}, Replies: make(chan Reply, 4)}
 	c.IsClientConnected = func() bool { u.mu.Lock(); defer u.mu.Unlock(); return u.disconnectedAt.IsZero() }
 	l.Post(func(now time.Duration) { c.Deadline = now + scriptDeadline; l.Submit(now, c) })
 	collectReplies := func() {
--- a/internal/frontend/body.go
+++ b/internal/frontend/body.go
@@ -13,7 +13,7 @@
 // reserveBodyMemory reserves the memory for a buffered body. It waits for free memory at most until the request's deadline. The
 // caller must call release when the memory is no longer used.
 func (s *Server) reserveBodyMemory(r *http.Request, arrived time.Time) (release func(), _ *rejection) {
-	size := body.Size{Bytes: int(r.ContentLength)}
+	size := body.MemoryRequest{Bytes: int(r.ContentLength)}
 	if s.options.BodyMemory == nil || size.Bytes <= 0 {
 		return func() {}, nil
 	}
@@ -36,7 +36,7 @@
 }()
 
 // waitForBodyMemory waits for memory until the request's deadline, but no longer than BodyTimeout.
-func (s *Server) waitForBodyMemory(r *http.Request, arrived time.Time, size body.Size) *rejection {
+func (s *Server) waitForBodyMemory(r *http.Request, arrived time.Time, size body.MemoryRequest) *rejection {
 	routes := s.routes.acquire()
 	defer routes.release()
 	request, rejected := s.parseRequest(routes, r, true)
--- a/internal/frontend/body_test.go
+++ b/internal/frontend/body_test.go
@@ -16,7 +16,7 @@
 	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	pool := body.NewMemoryPool(body.BufferSize)
 	p := startProxy(t, proxyOptions{bodyMemory: pool}, e.Addr)
-	if err := pool.Acquire(t.Context(), body.Size{Bytes: body.BufferSize}); err != nil {
+	if err := pool.Acquire(t.Context(), body.MemoryRequest{Bytes: body.BufferSize}); err != nil {
 		t.Fatal(err)
 	}
 	client := p.dialClient(t)
--- a/internal/frontend/dispatch.go
+++ b/internal/frontend/dispatch.go
@@ -14,7 +14,7 @@
 	outcome := metrics.Failed // outcome of a request without a reply; overwritten if a reply is written
 	request.target.Class.Metrics.Begin()
 	defer func() { request.target.Class.Metrics.End(outcome) }()
-	pool, call := request.target.Pool, request.call
+	pool, call := request.target.Loop, request.call
 	call.IsClientConnected = func() bool { return isClientConnected(r) }
 	pool.Post(func(now time.Duration) { pool.Submit(now, call) })
 	reply, hasReply := s.awaitReply(r, request)
@@ -30,7 +30,7 @@
 func (s *Server) awaitReply(r *http.Request, request *routedRequest) (reply eventloop.Reply, hasReply bool) {
 	var uploadFailed, streamsAborted <-chan struct{}
 	shutdownExpired := s.shutdownExpired
-	if upload := request.call.Message.Upload; upload != nil {
+	if upload := request.call.HTTPRequest.Upload; upload != nil {
 		uploadFailed, streamsAborted, shutdownExpired = upload.Failed(), s.streamContext.Done(), nil
 	}
 	select {
@@ -40,7 +40,7 @@
 	case <-streamsAborted:
 	case <-shutdownExpired:
 	case <-r.Context().Done():
-	case <-request.target.Pool.Done():
+	case <-request.target.Loop.Done():
 	}
 	return withdraw(request)
 }
@@ -48,7 +48,7 @@
 // withdraw reports to the event loop that nobody waits for a request any more. It returns the reply if the loop has sent one
 // meanwhile.
 func withdraw(request *routedRequest) (reply eventloop.Reply, hasReply bool) {
-	pool := request.target.Pool
+	pool := request.target.Loop
 	withdrawn := make(chan bool, 1)
 	pool.Post(func(now time.Duration) { withdrawn <- pool.ClientDisconnected(now, request.call) })
 	select {
@@ -66,7 +66,7 @@
 // endWithoutReply ends a request for which the event loop has sent no reply or, if isClientGone is true, a reply with the verdict
 // ClientGone, which has no response.
 func (s *Server) endWithoutReply(w *responseWriter, r *http.Request, request *routedRequest, isClientGone bool) {
-	upload, isDisconnected := request.call.Message.Upload, isClientGone || r.Context().Err() != nil
+	upload, isDisconnected := request.call.HTTPRequest.Upload, isClientGone || r.Context().Err() != nil
 	if isClientGone && upload != nil {
 		// The kernel reports a disconnect even if bytes that the client sent before are unread. Whether they complete the body is known
 		// only after they were read.
--- a/internal/frontend/framing.go
+++ b/internal/frontend/framing.go
@@ -17,8 +17,8 @@
 		return newRejection(http.StatusBadRequest, "a header line is folded")
 	case len(r.TransferEncoding) > 0 && s.options.BodyMemory == nil:
 		return newRejection(http.StatusLengthRequired, "Transfer-Encoding: a Content-Length is wanted")
-	case len(r.TransferEncoding) > 0 && s.options.Raw && !isChunkedOnly(r):
-		// With the option Raw no proxy in front of the daemon has checked the framing.
+	case len(r.TransferEncoding) > 0 && s.options.ForwardsUnchanged && !isChunkedOnly(r):
+		// With the option ForwardsUnchanged no proxy in front of the daemon has checked the framing.
 		return newRejection(http.StatusBadRequest, "the body may be framed in two ways")
 	case r.ContentLength > s.options.MaxBodyBytes:
 		return newRejection(http.StatusRequestEntityTooLarge, "the body is too long")
--- a/internal/frontend/proxy_test.go
+++ b/internal/frontend/proxy_test.go
@@ -74,15 +74,15 @@
 	activeRoutes := &ActiveRouteConfig{}
 	activeRoutes.Swap(testRoutes(t, p.loop, registry, options.configureClass))
 	serverOptions := Options{
-		MaxHeaderBytes: 16 << 10,
-		MaxBodyBytes:   1 << 20,
-		HeadTimeout:    testpeer.Timeout,
-		BodyTimeout:    testpeer.Timeout,
-		WriteTimeout:   testpeer.Timeout,
-		BodyMemory:     options.bodyMemory,
-		MinRate:        minimumRate,
-		Metrics:        registry,
-		Raw:            true,
+		MaxHeaderBytes:    16 << 10,
+		MaxBodyBytes:      1 << 20,
+		HeadTimeout:       testpeer.Timeout,
+		BodyTimeout:       testpeer.Timeout,
+		WriteTimeout:      testpeer.Timeout,
+		BodyMemory:        options.bodyMemory,
+		MinRate:           minimumRate,
+		Metrics:           registry,
+		ForwardsUnchanged: true,
 	}
 	if options.configure != nil {
 		options.configure(&serverOptions)
@@ -139,7 +139,7 @@
 			configure(class)
 		}
 		rules = append(rules, route.Rule{Name: c.Name, Kind: route.Prefix, Path: "/" + c.Name})
-		routes.Targets = append(routes.Targets, Target{Pool: pool, Class: class})
+		routes.Targets = append(routes.Targets, Target{Loop: pool, Class: class})
 	}
 	var err error
 	if routes.Table, err = route.New(rules); err != nil {
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -57,16 +57,16 @@
 	isRetry := class.RetryHeader != "" && r.Header.Get(class.RetryHeader) == "1"
 	call := &eventloop.Call{
 		Request: balance.Request{ID: id, Class: class.Name, Tenant: tenant, IsRetry: isRetry},
-		Message: &upstream.Request{
+		HTTPRequest: &upstream.Request{
 			Method:         r.Method,
 			Target:         target.requestTarget,
 			Host:           r.Host,
 			Header:         header,
 			DeadlineHeader: class.DeadlineHeader,
 		},
-		Replies:         make(chan eventloop.Reply, 1),
-		Guard:           routes.Guard,
-		GuardRetryAfter: routes.GuardRetryAfter,
+		Replies:             make(chan eventloop.Reply, 1),
+		AcceptsRequests:     routes.AcceptsRequests,
+		RejectionRetryAfter: routes.RejectionRetryAfter,
 	}
 	return &routedRequest{call: call, target: target.Target, timeout: timeout}, nil
 }
@@ -134,7 +134,7 @@
 
 // setDeadline sets the deadline of a request's eventloop.Call. The request's timeout counts from start.
 func (s *Server) setDeadline(request *routedRequest, start time.Time) {
-	request.call.Deadline = request.target.Pool.At(s.deadlineFrom(request, start))
+	request.call.Deadline = request.target.Loop.At(s.deadlineFrom(request, start))
 }
 
 // capAtShutdown returns the earlier of a deadline and the shutdown deadline.
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -101,10 +101,10 @@
 }
 
 // copyResponseHeader copies the header of an endpoint's response without the hop-by-hop headers, or only Content-Type if the option
-// Raw is set. It may modify from, which no other response uses.
+// ForwardsUnchanged is set. It may modify from, which no other response uses.
 func (s *Server) copyResponseHeader(to, from http.Header) {
 	to["Content-Type"] = nil // keeps net/http from guessing a Content-Type
-	if s.options.Raw {
+	if s.options.ForwardsUnchanged {
 		if contentType := from.Get("Content-Type"); contentType != "" {
 			to.Set("Content-Type", contentType)
 		}
--- a/internal/frontend/routeconfig.go
+++ b/internal/frontend/routeconfig.go
@@ -36,7 +36,7 @@
 
 // Target says how the requests of a route are handled: by which pool, as which class and with which changes.
 type Target struct {
-	Pool          *eventloop.Loop
+	Loop          *eventloop.Loop
 	Class         *Class
 	DefaultTenant string      // tenant of requests that name none
 	Prefix        string      // prefix of the path that PrefixRewrite replaces
@@ -51,10 +51,10 @@
 	Table   *route.Table
 	Targets []Target // targets by the index of their rule in Table
 
-	// Guard reports whether new requests may be routed by this configuration at present; nil means always. While it returns
-	// false, new requests are shed with GuardRetryAfter as their Retry-After.
-	Guard           func() bool
-	GuardRetryAfter time.Duration // Retry-After of a request that is shed because of Guard
+	// AcceptsRequests reports whether new requests may be routed by this configuration at present; nil means always. While it returns
+	// false, new requests are shed with RejectionRetryAfter as their Retry-After.
+	AcceptsRequests     func() bool
+	RejectionRetryAfter time.Duration // Retry-After of a request that is shed because AcceptsRequests returns false
 
 	inFlight sync.WaitGroup // requests that have acquired the configuration and not released it
 }
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -47,9 +47,9 @@
 	Pseudonym            string // the daemon's pseudonym in the header Via
 	FractionalRetryAfter bool   // Retry-After has fractions of seconds; otherwise it has whole seconds (RFC 9110, 10.2.3)
 
-	// Raw means that request targets are matched and forwarded unchanged, and that Content-Type is the only response header that is
+	// ForwardsUnchanged means that request targets are matched and forwarded unchanged, and that Content-Type is the only response header that is
 	// forwarded. It is set where no proxy in front of the daemon has checked the framing of requests.
-	Raw bool
+	ForwardsUnchanged bool
 
 	BodyMemory *body.MemoryPool // memory for bodies; nil: bodies are never streamed, and requests need a Content-Length
 	MinRate    body.MinimumRate // minimum rate at which clients must send and receive streaming bodies
@@ -164,7 +164,7 @@
 		s.rejectInvalid(w, rejected)
 		return
 	}
-	request.call.Message.Body = content
+	request.call.HTTPRequest.Body = content
 	s.setDeadline(request, arrived)
 	s.dispatch(w, r, request)
 }
--- a/internal/frontend/streaming.go
+++ b/internal/frontend/streaming.go
@@ -69,7 +69,7 @@
 		}
 	}
 	if isComplete && upload.Trailer() == nil {
-		request.call.Message.Body = bytes.Clone(upload.Prefix())
+		request.call.HTTPRequest.Body = bytes.Clone(upload.Prefix())
 		s.setDeadline(request, timeoutStart(request, arrived))
 	} else {
 		s.attachUpload(request, upload, timeoutStart(request, arrived))
@@ -123,9 +123,9 @@
 func (s *Server) attachUpload(request *routedRequest, upload *body.Upload, start time.Time) {
 	s.setDeadline(request, start)
 	call, class := request.call, request.target.Class
-	call.Message.Upload, call.StreamUntil = upload, call.Deadline
+	call.HTTPRequest.Upload, call.StreamUntil = upload, call.Deadline
 	if !class.DeadlineCoversStreams {
-		call.StreamUntil = max(call.Deadline, request.target.Pool.At(s.capAtShutdown(start.Add(class.MaxStreamDuration))))
-		call.ResponseTimeout, call.Message.ResponseTimeout = request.timeout, request.timeout
+		call.StreamUntil = max(call.Deadline, request.target.Loop.At(s.capAtShutdown(start.Add(class.MaxStreamDuration))))
+		call.ResponseTimeout, call.HTTPRequest.ResponseTimeout = request.timeout, request.timeout
 	}
 }
--- a/internal/frontend/streaming_response.go
+++ b/internal/frontend/streaming_response.go
@@ -24,7 +24,7 @@
 	}
 	maxDuration := request.target.Class.MaxStreamDuration
 	if request.target.Class.DeadlineCoversStreams {
-		maxDuration = request.call.Deadline - request.target.Pool.Now()
+		maxDuration = request.call.Deadline - request.target.Loop.Now()
 	}
 	defer time.AfterFunc(maxDuration, stream.Abort).Stop()
 	meter := body.NewMeter(s.options.MinRate)
--- a/internal/frontend/target.go
+++ b/internal/frontend/target.go
@@ -20,9 +20,9 @@
 	rawTarget := originForm(r.RequestURI)
 	var err error
 	switch {
-	case s.options.Raw && !isPlainPath(rawTarget):
+	case s.options.ForwardsUnchanged && !isPlainPath(rawTarget):
 		return resolvedTarget{}, newRejection(http.StatusBadRequest, "the target is no plain path")
-	case s.options.Raw:
+	case s.options.ForwardsUnchanged:
 		routeRequest.Path, routeRequest.RawQuery, _ = strings.Cut(rawTarget, "?")
 	default:
 		if routeRequest.Path, routeRequest.RawQuery, err = route.Normalize(r.RequestURI); err != nil {
@@ -34,7 +34,7 @@
 		return resolvedTarget{}, newRejection(http.StatusNotFound, "nothing is served at %.80q", routeRequest.Path)
 	}
 	target := &routes.Targets[i]
-	if s.options.Raw {
+	if s.options.ForwardsUnchanged {
 		return resolvedTarget{target, rawTarget}, nil
 	}
 	rewritten := target.rewritePath(routeRequest.Path)
--- a/internal/frontend/wire_test.go
+++ b/internal/frontend/wire_test.go
@@ -88,7 +88,7 @@
 	expectHead := head("POST /pay", id+deadline+"Content-Length: 3\r\nExpect: 100-continue\r\n")
 	getRequest := head("GET /look", id+deadline)
 	withForwarded := func(mode ForwardedMode) func(*Options) {
-		return func(o *Options) { o.Raw, o.Forwarded, o.Pseudonym = false, mode, "via" }
+		return func(o *Options) { o.ForwardsUnchanged, o.Forwarded, o.Pseudonym = false, mode, "via" }
 	}
 	const clientHeaders = "X-Forwarded-For: 192.0.2.1\r\nX_Forwarded_For: 192.0.2.2\r\nForwarded: for=192.0.2.1\r\nVia: 1.0 x\r\n" +
 		"Connection: X-Hop\r\nX-Hop: 1\r\nKeep-Alive: 2\r\nX-End: kept\r\n"
--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -24,17 +24,17 @@
 		return nil, fmt.Errorf("admin_addr: %w", err)
 	}
 	handlers := admin.Handlers{
-		IsReady:        s.isReady.Load,
-		WriteMetrics:   s.writeMetrics,
-		WritePeers:     s.cluster.writePeers,
-		WriteVersions:  s.cluster.writeSettingsStatus,
-		HandleSettings: s.cluster.handleSettings,
-		SetEjected:     s.setEjected,
+		IsReady:             s.isReady.Load,
+		WriteMetrics:        s.writeMetrics,
+		WritePeers:          s.cluster.writePeers,
+		WriteSettingsStatus: s.cluster.writeSettingsStatus,
+		HandleSettings:      s.cluster.handleSettings,
+		SetEjected:          s.setEjected,
 	}
 	if s.cluster.hasConsensus() {
 		handlers.MaxBodyBytes = consensus.MaxDocumentBytes
 	}
-	server := admin.New(l, c.OperatorConnections, handlers, s.log)
+	server := admin.New(l, c.MaxOperatorConnections, handlers, s.log)
 	go server.Serve()
 	return server, nil
 }
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -18,7 +18,7 @@
 )
 
 // enableAdmin configures an address for operators' commands.
-func enableAdmin(c *config.Service) { c.AdminAddress, c.OperatorConnections = "127.0.0.1:0", 8 }
+func enableAdmin(c *config.Service) { c.AdminAddress, c.MaxOperatorConnections = "127.0.0.1:0", 8 }
 
 // adminCommand sends one command to the operators' address and returns the response.
 func (s *platformSidecar) adminCommand(t *testing.T, line string) string {
@@ -252,7 +252,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	next.AdminAddress, next.OperatorConnections = l.Addr().String(), 8
+	next.AdminAddress, next.MaxOperatorConnections = l.Addr().String(), 8
 	if err := s.Reload(next); err == nil || !strings.Contains(err.Error(), "admin_addr") {
 		t.Errorf("a reload with an address in use: error %v, want one that names admin_addr", err)
 	}
--- a/internal/sidecar/benchmark_test.go
+++ b/internal/sidecar/benchmark_test.go
@@ -23,7 +23,7 @@
 				members = append(members, discovery.Member{ID: fmt.Sprint("n", i), Addr: fmt.Sprintf("127.%d.%d.%d:80", 1+i>>16, i>>8&255, i&255)})
 			}
 			source := config.SourceSpec{Members: []config.Member{{ID: "x", Address: "127.0.0.1:1"}}}
-			spec := config.PoolSpec{Name: "p", Connections: 10, Source: source}
+			spec := config.PoolSpec{Name: "p", MaxConnections: 10, Source: source}
 			p := newPool(eventloop.NewBalancer, spec, nil, &metrics.Registry{}, slog.New(slog.DiscardHandler))
 			defer p.close()
 			applied := make(chan bool)
--- a/internal/sidecar/cluster.go
+++ b/internal/sidecar/cluster.go
@@ -171,7 +171,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.transport.Changed():
+		case <-n.transport.ViewChanged():
 		case <-timer.C:
 		}
 		now := n.transport.Now()
--- a/internal/sidecar/cluster_metrics.go
+++ b/internal/sidecar/cluster_metrics.go
@@ -49,7 +49,7 @@
 	s, _ := n.settingsStatus()
 	return []metrics.Sample{
 		{Name: "settings_version", Value: int64(s.ActiveVersion)},
-		{Name: "settings_all", Value: int64(s.FullyActiveVersion)},
+		{Name: "settings_all", Value: int64(s.OldestActiveVersion)},
 		{Name: "settings_lease_ms", Value: s.LeaseMs},
 		{Name: "settings_term", Value: int64(s.Term)},
 		{Name: "settings_leads", Value: boolGauge(s.IsLeader)},
--- a/internal/sidecar/listener.go
+++ b/internal/sidecar/listener.go
@@ -47,26 +47,26 @@
 // newListener creates a listener and its server on a socket. It accepts connections once the method serve is called.
 func newListener(spec config.Listener, o listenerOptions) *listener {
 	// Clients beyond the limit wait in the kernel's accept queue, which costs no descriptor and loses no connection.
-	limiter := frontend.NewLimitListener(o.socket, spec.Connections+config.SpareConnections)
+	limiter := frontend.NewLimitListener(o.socket, spec.MaxConnections+config.SpareConnections)
 	l := &listener{
 		spec:             spec,
 		pseudonym:        o.pseudonym,
 		socket:           o.socket,
 		acceptLimiter:    limiter,
-		frontendListener: frontend.NewListener(limiter, spec.Connections, spec.HeadTimeout),
+		frontendListener: frontend.NewListener(limiter, spec.MaxConnections, spec.HeadTimeout),
 		acceptEnded:      make(chan struct{}),
 	}
 	l.frontend = frontend.NewServer(frontend.Options{
-		MaxHeaderBytes:       spec.HeadBytes,
-		MaxBodyBytes:         spec.BodyBytes,
+		MaxHeaderBytes:       spec.MaxHeadBytes,
+		MaxBodyBytes:         spec.MaxBodyBytes,
 		HeadTimeout:          spec.HeadTimeout,
 		BodyTimeout:          spec.BodyTimeout,
 		IdleTimeout:          spec.IdleTimeout,
 		WriteTimeout:         spec.WriteTimeout,
 		Forwarded:            frontend.ForwardedMode(spec.Forwarded),
 		Pseudonym:            o.pseudonym,
-		FractionalRetryAfter: spec.RetryAfter == "fraction",
-		Raw:                  spec.UsesRawTargets,
+		FractionalRetryAfter: spec.RetryAfterFormat == "fraction",
+		ForwardsUnchanged:    spec.UsesRawTargets,
 		BodyMemory:           o.bodyMemory,
 		Metrics:              o.metrics,
 		MinRate:              body.MinimumRate{IdleTimeout: spec.StreamIdleTimeout, BytesPerSecond: spec.MinStreamRate},
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -56,7 +56,7 @@
 	p.upstream = upstream.New(upstream.Options{
 		IdleTimeout:             spec.IdleTimeout,
 		DialTimeout:             spec.DialTimeout,
-		MaxConnections:          spec.Connections,
+		MaxConnections:          spec.MaxConnections,
 		DialInsteadOfWaiting:    spec.DialsRatherThanWaits,
 		AcceptOnlyStatusOK:      spec.AcceptsOnlyStatusOK,
 		RequestStart:            requestStart,
@@ -160,7 +160,7 @@
 			MaxTTL:  spec.DNS.MaxTTL,
 		}, p.members, p.updateEndpoints, p.reportDiscoveryFailure, p.log)
 	}
-	return discovery.NewStaticSource(config.StaticMembers(spec.Members), p.members, p.updateEndpoints, p.reportDiscoveryFailure, p.log)
+	return discovery.NewStaticSource(config.EndpointsetMembers(spec.Members), p.members, p.updateEndpoints, p.reportDiscoveryFailure, p.log)
 }
 
 // canServe reports whether the pool can be reused under another configuration: only its discovery source may differ.
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -60,8 +60,8 @@
 	next := s.buildConfig(c)
 	active := activeSettings{consensus.DigestDocuments(settingsDocuments(agreed.Docs)), &atomic.Uint64{}}
 	active.version.Store(agreed.Version)
-	next.routes.Guard = s.cluster.requestGuard(c.RejectsWhenIndeterminate, active.version)
-	next.routes.GuardRetryAfter = noLeaseRetryAfter
+	next.routes.AcceptsRequests = s.cluster.requestGuard(c.RejectsWhenIndeterminate, active.version)
+	next.routes.RejectionRetryAfter = noLeaseRetryAfter
 	s.activeRoutes.Swap(next.routes)
 	s.ownConfig, s.activeSettings = own, active
 	if s.cluster.hasConsensus() {
--- a/internal/sidecar/routes.go
+++ b/internal/sidecar/routes.go
@@ -16,7 +16,7 @@
 			classes[t.Class].Metrics = registry.Class(t.Class.Name)
 		}
 		target := frontend.Target{
-			Pool:          pools[t.Pool].loop,
+			Loop:          pools[t.Pool].loop,
 			Class:         classes[t.Class],
 			DefaultTenant: t.Tenant,
 			Prefix:        t.PathPrefix,
--- a/internal/sidecar/settings_command.go
+++ b/internal/sidecar/settings_command.go
@@ -178,21 +178,21 @@
 	agreed, _ := n.raft.Valid()
 	raftStatus := n.raft.Status()
 	s := &status.Settings{
-		ActiveVersion:      agreed.Version,
-		HasLease:           n.raft.CoversVersion(agreed.Version),
-		LeaseMs:            n.raft.LeaseRemaining().Milliseconds(),
-		IsVoter:            raftStatus.IsVoter,
-		IsLeader:           raftStatus.IsLeader,
-		Leader:             raftStatus.Leader,
-		Term:               raftStatus.Term,
-		CommittedVersion:   raftStatus.CommittedVersion,
-		PendingVersion:     raftStatus.PendingVersion,
-		FullyActiveVersion: raftStatus.FullyActiveVersion,
-		RejectedVersion:    raftStatus.RejectedVersion,
-		RejectionReason:    raftStatus.RejectionReason,
-		RejectedRequests:   n.rejectedRequests.Load(),
-		KnownVoters:        strings.Join(raftStatus.KnownVoters, ","),
-		ActiveVoters:       strings.Join(raftStatus.ActiveVoters, ","),
+		ActiveVersion:       agreed.Version,
+		HasLease:            n.raft.CoversVersion(agreed.Version),
+		LeaseMs:             n.raft.LeaseRemaining().Milliseconds(),
+		IsVoter:             raftStatus.IsVoter,
+		IsLeader:            raftStatus.IsLeader,
+		Leader:              raftStatus.Leader,
+		Term:                raftStatus.Term,
+		AppliedVersion:      raftStatus.AppliedVersion,
+		PendingVersion:      raftStatus.PendingVersion,
+		OldestActiveVersion: raftStatus.OldestActiveVersion,
+		RejectedVersion:     raftStatus.RejectedVersion,
+		RejectionReason:     raftStatus.RejectionReason,
+		RejectedRequests:    n.rejectedRequests.Load(),
+		KnownVoters:         strings.Join(raftStatus.KnownVoters, ","),
+		ActiveVoters:        strings.Join(raftStatus.ActiveVoters, ","),
 	}
 	for _, l := range raftStatus.Lagging {
 		s.LaggingDaemons = append(s.LaggingDaemons, status.LaggingDaemon{Name: l.Daemon, Reason: l.Reason})
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -87,8 +87,8 @@
 		drainingListeners:     map[*listener]bool{},
 		runningPools:          map[*pool]bool{},
 	}
-	if c.BodyMemory > 0 {
-		s.bodyMemory = body.NewMemoryPool(c.BodyMemory)
+	if c.BodyMemoryBytes > 0 {
+		s.bodyMemory = body.NewMemoryPool(c.BodyMemoryBytes)
 	}
 	var err error
 	if s.cluster, err = startCluster(c, log); err != nil {
--- a/internal/simwire/endpointlist.go
+++ b/internal/simwire/endpointlist.go
@@ -40,11 +40,11 @@
 		return errors.New("ENDPOINT exceeds the Hosts of the last LEDGER")
 	}
 	endpoint := balance.Endpoint{
-		ID:      m.internedText("Endpoint", required),
-		Zone:    m.internedText("Zone", optional),
-		Kind:    m.internedText("Sku", optional),
-		Cell:    m.integer("Pack", optional),
-		Started: m.microseconds("LastStartUs", optional),
+		ID:        m.internedText("Endpoint", required),
+		Zone:      m.internedText("Zone", optional),
+		Kind:      m.internedText("Sku", optional),
+		Cell:      m.integer("Pack", optional),
+		StartedAt: m.microseconds("LastStartUs", optional),
 	}
 	switch phase := m.text("Phase", required); phase {
 	case "ready":
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -25,7 +25,7 @@
 	m.integer("Gen", optional) // validated but not used, since lists come in the order of the messages
 	switch mode {
 	case "X":
-		list.Failed = true
+		list.HasFailed = true
 	case "C", "F", "D":
 		list.Complete = mode != "D"
 		list.Endpoints = r.lists.entries(m)
@@ -62,12 +62,12 @@
 func (r *Reader) reportOutcome(to balance.Events) {
 	m := &r.message
 	outcome := balance.Outcome{
-		ID:       m.requestID(),
-		Attempt:  m.integer("N", required),
-		Endpoint: m.internedText("Endpoint", required),
-		Result:   m.result(),
-		Latency:  m.microseconds("SpentUs", required),
-		IsFinal:  m.integer("DoneFlag", optional) != 0,
+		ID:            m.requestID(),
+		AttemptNumber: m.integer("N", required),
+		Endpoint:      m.internedText("Endpoint", required),
+		Result:        m.result(),
+		Latency:       m.microseconds("SpentUs", required),
+		IsFinal:       m.integer("DoneFlag", optional) != 0,
 	}
 	if m.err == nil {
 		to.Outcome(r.now, outcome)
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -202,7 +202,7 @@
 			return balance.Load{}
 		}
 		if string(name) == "active" {
-			load.Known, load.Requests = true, value
+			load.IsReported, load.Requests = true, value
 		}
 	}
 	return load
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -81,14 +81,14 @@
 		t.Fatal(err)
 	}
 	const ms, us = time.Millisecond, time.Microsecond
-	endpoint := balance.Endpoint{ID: "h:1", Zone: "z", Kind: "big", Cell: 2, Started: 7 * us}
+	endpoint := balance.Endpoint{ID: "h:1", Zone: "z", Kind: "big", Cell: 2, StartedAt: 7 * us}
 	want := []recordedEvent{
 		{ms, "list", balance.EndpointUpdate{Complete: true, Endpoints: []balance.Endpoint{endpoint}}},
-		{ms, "list", balance.EndpointUpdate{Failed: true}},
+		{ms, "list", balance.EndpointUpdate{HasFailed: true}},
 		{ms, "request", balance.Request{ID: "r1", Class: "c", Tenant: "t", Deadline: 2 * ms, IsRetry: true}},
 		{ms, "request", balance.Request{ID: "r2", Class: "c", Deadline: 2 * ms}},
 		{ms, "outcome", balance.Outcome{ID: "r1", Endpoint: "h:1", Result: balance.OK, Latency: 5 * us, IsFinal: true}},
-		{ms, "probed", balance.ProbeResult{Endpoint: "h:1", Result: balance.OK, Load: balance.Load{Known: true, Requests: 2.5}}},
+		{ms, "probed", balance.ProbeResult{Endpoint: "h:1", Result: balance.OK, Load: balance.Load{IsReported: true, Requests: 2.5}}},
 		{ms, "stream", []any{"r2", 1}},
 		{ms, "left", "r2"},
 		{ms, "timer", nil},
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -116,17 +116,17 @@
 // balancerSettings returns the settings for balance.New, without the seed, the classes, the tenants and the mode of discovery.
 func (w *settings) balancerSettings() balance.Settings {
 	s := balance.Settings{
-		Balancers:         w.NInstances,
-		Index:             w.Me,
-		Tier:              w.Tier,
-		TiersBelow:        max(len(w.Tiers)-1-w.Tier, 0),
-		SubscribeWithin:   microseconds(w.Rules.AskWithinUs),
-		MaxAttempts:       w.Permissions.TryLimit,
-		CanCancel:         w.Permissions.MayCancel,
-		CanProbe:          w.Permissions.MayProbe && w.hasUsableLoadReports(),
-		TimerResolution:   microseconds(w.ResolutionUs),
-		SlowStartCapacity: w.Rules.ColdFrom,
-		SlowStartDuration: microseconds(w.Rules.ColdUs),
+		BalancerCount:        w.NInstances,
+		BalancerIndex:        w.Me,
+		Tier:                 w.Tier,
+		TiersBelow:           max(len(w.Tiers)-1-w.Tier, 0),
+		MaxSubscribeInterval: microseconds(w.Rules.AskWithinUs),
+		MaxAttempts:          w.Permissions.TryLimit,
+		CanCancel:            w.Permissions.MayCancel,
+		CanProbe:             w.Permissions.MayProbe && w.hasUsableLoadReports(),
+		TimerResolution:      microseconds(w.ResolutionUs),
+		SlowStartCapacity:    w.Rules.ColdFrom,
+		SlowStartDuration:    microseconds(w.Rules.ColdUs),
 	}
 	if w.Permissions.RetryAfter {
 		s.MaxRetryAfter = microseconds(w.Permissions.MaxRetryAfterUs)
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -21,9 +21,9 @@
 		t.Fatal(err)
 	}
 	us := time.Microsecond
-	want := balance.Settings{Seed: 1<<64 - 1, Balancers: 2, Index: 1, Tier: 1, TiersBelow: 1,
+	want := balance.Settings{Seed: 1<<64 - 1, BalancerCount: 2, BalancerIndex: 1, Tier: 1, TiersBelow: 1,
 		Classes: []balance.Class{{Name: "n", Idempotency: balance.IdempotencyKey, DedupScope: balance.ScopeCell, DedupWindow: 3 * us, LatencyObjective: us}},
-		Tenants: []balance.Tenant{{Name: "t", Quota: 6.5}}, MustSubscribe: true, SubscribeWithin: 9 * us, MaxAttempts: 4,
+		Tenants: []balance.Tenant{{Name: "t", Quota: 6.5}}, MustSubscribe: true, MaxSubscribeInterval: 9 * us, MaxAttempts: 4,
 		CanCancel: true, CanProbe: true, MaxRetryAfter: 7 * us,
 		TimerResolution: 5 * time.Millisecond, SlowStartCapacity: 0.3, SlowStartDuration: 10 * us}
 	if got := r.runningSettings[0]; !reflect.DeepEqual(got, want) {
--- a/internal/testkit/baseline/baseline.go
+++ b/internal/testkit/baseline/baseline.go
@@ -91,7 +91,7 @@
 // EndpointList implements balance.Events. It applies an update of the endpoint list. If the update reports a failed poll or a
 // broken subscription instead, EndpointList subscribes again.
 func (b *balancer) EndpointList(_ time.Duration, l balance.EndpointUpdate) {
-	if l.Failed {
+	if l.HasFailed {
 		b.host.Subscribe()
 		return
 	}
--- a/internal/testkit/baseline/baseline_test.go
+++ b/internal/testkit/baseline/baseline_test.go
@@ -97,7 +97,7 @@
 			b, h := newBalancer(t, name, "a", "b", "c", "d")
 			b.Request(0, newRequest("r", c.class))
 			for i := 0; i < len(h.sentTo) && i < 9; i++ {
-				b.Outcome(0, balance.Outcome{ID: "r", Attempt: i, Endpoint: h.sentTo[i], Result: c.result})
+				b.Outcome(0, balance.Outcome{ID: "r", AttemptNumber: i, Endpoint: h.sentTo[i], Result: c.result})
 			}
 			if len(h.sentTo) != c.sent || len(h.rejected) != c.rejected || len(h.failed) != c.failed {
 				t.Errorf("%s: %s request with result %v: %d attempts, %d rejections, %d failures, want %d, %d, %d",
--- a/internal/testkit/clusterinvariant/membership.go
+++ b/internal/testkit/clusterinvariant/membership.go
@@ -33,24 +33,24 @@
 // MembershipRules lists the rules that CheckMembership checks, in the order in which they are reported.
 var MembershipRules = []Rule{FailureDetected, NoFalsePositive, LeftIsNotFailed, IncarnationsMonotonic, ViewsConverge}
 
-// Kind says which fact or observation an Event records.
-type Kind int
+// EventKind says which fact or observation an Event records.
+type EventKind int
 
 // StateObserved records what a daemon reported. All other kinds of events are facts: what was done to daemons, links or processes.
 const (
-	Started       Kind = iota // Subject's process was started and responds
-	Killed                    // Subject's process was killed without announcing that it leaves
-	ShutdownBegan             // Subject was told to shut down gracefully, and has not ended yet
-	Left                      // Subject's process has ended after it announced that it leaves the cluster
-	FaultBegan                // at least one fault of links or processes is active from now on
-	FaultsEnded               // no fault is active any more; killed daemons stay down
-	StateObserved             // Observer's view of Subject has changed to State and Incarnation
+	Started       EventKind = iota // Subject's process was started and responds
+	Killed                         // Subject's process was killed without announcing that it leaves
+	ShutdownBegan                  // Subject was told to shut down gracefully, and has not ended yet
+	Left                           // Subject's process has ended after it announced that it leaves the cluster
+	FaultBegan                     // at least one fault of links or processes is active from now on
+	FaultsEnded                    // no fault is active any more; killed daemons stay down
+	StateObserved                  // Observer's view of Subject has changed to State and Incarnation
 )
 
 // Event is one entry of a cluster's timeline.
 type Event struct {
 	At          time.Duration
-	Kind        Kind
+	Kind        EventKind
 	Subject     string // name of the daemon that the event is about; empty for FaultBegan and FaultsEnded
 	Observer    string // name of the daemon whose view changed, for StateObserved
 	State       string // new state of Subject, for StateObserved: alive, suspect, failed or left
@@ -92,7 +92,7 @@
 type checker struct {
 	limits            Limits
 	verdict           Verdict
-	status            map[string]Kind                   // latest fact about each daemon: Started, Killed, ShutdownBegan or Left
+	status            map[string]EventKind              // latest fact about each daemon: Started, Killed, ShutdownBegan or Left
 	statusSince       map[string]time.Duration          // instant of the latest fact about each daemon
 	views             map[string]map[string]observation // each daemon's view: by observer, then by subject
 	pendingDetections map[[2]string]time.Duration       // deadline by which an observer must detect the end of a subject, by {observer, subject}
@@ -103,7 +103,7 @@
 
 // CheckMembership checks a timeline, whose events are in order of their instants, against MembershipRules.
 func CheckMembership(events []Event, limits Limits) Verdict {
-	c := &checker{limits: limits, status: map[string]Kind{}, statusSince: map[string]time.Duration{}, views: map[string]map[string]observation{},
+	c := &checker{limits: limits, status: map[string]EventKind{}, statusSince: map[string]time.Duration{}, views: map[string]map[string]observation{},
 		pendingDetections: map[[2]string]time.Duration{}}
 	c.verdict.TestedOccasions = map[Rule]int{}
 	for _, e := range events {
--- a/internal/testkit/clusterinvariant/membership_test.go
+++ b/internal/testkit/clusterinvariant/membership_test.go
@@ -11,7 +11,7 @@
 	return Event{At: at, Kind: StateObserved, Observer: observer, Subject: subject, State: state, Incarnation: incarnation}
 }
 
-func fact(at time.Duration, kind Kind, subject string) Event {
+func fact(at time.Duration, kind EventKind, subject string) Event {
 	return Event{At: at, Kind: kind, Subject: subject}
 }
 
--- a/internal/testkit/fake/client.go
+++ b/internal/testkit/fake/client.go
@@ -18,25 +18,25 @@
 
 // Request describes a request for Client.Do: what the client sends, and how long it waits for the response.
 type Request struct {
-	ID             string                // unique ID of the request; a retry by the client has a new ID
-	Class          int                   // index of the request's class in the classes given to NewClient
-	Tenant         string                // value of the header Req-Owner; empty: none
-	IdempotencyKey string                // idempotency key, which is sent if the class is IdempotencyKeyed; empty: none
-	IsRetry        bool                  // whether the request repeats one that failed; sent as the header Req-Retry
-	CostHint       time.Duration         // the client's estimate of the request's work, sent as the header Req-Cost; 0: not sent
-	Job            *Job                  // work that the nodes do for the request, including its calls to further tiers
-	Timeout        time.Duration         // time from the call of Do until the deadline
-	LeaveAfter     time.Duration         // time from the call of Do until the client disconnects; 0: it waits for the deadline
-	Connect        func() (Target, bool) // chooses the sidecar for a new connection; reports false if there is none
+	ID              string                // unique ID of the request; a retry by the client has a new ID
+	Class           int                   // index of the request's class in the classes given to NewClient
+	Tenant          string                // value of the header Req-Owner; empty: none
+	IdempotencyKey  string                // idempotency key, which is sent if the class is IdempotencyKeyed; empty: none
+	IsRetry         bool                  // whether the request repeats one that failed; sent as the header Req-Retry
+	CostHint        time.Duration         // the client's estimate of the request's work, sent as the header Req-Cost; 0: not sent
+	Job             *Job                  // work that the nodes do for the request, including its calls to further tiers
+	Timeout         time.Duration         // time from the call of Do until the deadline
+	DisconnectAfter time.Duration         // time from the call of Do until the client disconnects; 0: it waits for the deadline
+	Connect         func() (Target, bool) // chooses the sidecar for a new connection; reports false if there is none
 }
 
 // Outcome describes how a request ended for its client.
 type Outcome struct {
-	Status     int           // HTTP status of the response; 0: no complete response came
-	IsAccepted bool          // whether the request was written to a sidecar completely
-	RetryAfter time.Duration // value of the response's header Retry-After; 0: none
-	HasDialed  bool          // whether a connection was opened for the request
-	HasLeft    bool          // whether the client closed the connection after Request.LeaveAfter
+	Status          int           // HTTP status of the response; 0: no complete response came
+	IsAccepted      bool          // whether the request was written to a sidecar completely
+	RetryAfter      time.Duration // value of the response's header Retry-After; 0: none
+	HasDialed       bool          // whether a connection was opened for the request
+	HasDisconnected bool          // whether the client closed the connection after Request.DisconnectAfter
 }
 
 // Client sends requests over connections that it reuses, and records what it observes. It is safe for concurrent use and
@@ -180,15 +180,15 @@
 	}
 	outcome.IsAccepted = true
 	giveUpAt, disconnectsEarly := deadline+c.lateTolerance+lateAllowance, false
-	if r.LeaveAfter > 0 && deadline-r.Timeout+r.LeaveAfter < giveUpAt {
-		giveUpAt, disconnectsEarly = deadline-r.Timeout+r.LeaveAfter, true
+	if r.DisconnectAfter > 0 && deadline-r.Timeout+r.DisconnectAfter < giveUpAt {
+		giveUpAt, disconnectsEarly = deadline-r.Timeout+r.DisconnectAfter, true
 	}
 	_ = conn.SetReadDeadline(time.Now().Add(giveUpAt - c.recorder.Now()))
 	if _, err := conn.reader.Peek(1); err != nil {
 		conn.Close()
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded) && disconnectsEarly:
-			outcome.HasLeft = true
+			outcome.HasDisconnected = true
 			c.recorder.Add(invariant.Event{Kind: invariant.ClientDisconnected, Request: r.ID})
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			c.recorder.Add(invariant.Event{Kind: invariant.ResponseOverdue, Request: r.ID})
--- a/internal/testkit/fake/client_test.go
+++ b/internal/testkit/fake/client_test.go
@@ -52,14 +52,14 @@
 			recorder := NewRecorder(time.Now(), 100)
 			client := NewClient(classes, &Registry{}, recorder, 50*time.Millisecond, 4)
 			out := client.Do(Request{ID: "ab", Class: readClass, Job: &Job{}, Timeout: 200 * time.Millisecond,
-				LeaveAfter: c.disconnectAfter, Connect: connect})
+				DisconnectAfter: c.disconnectAfter, Connect: connect})
 			client.Close()
 			events, _ := recorder.Events()
 			var kinds []invariant.Kind
 			for _, e := range events {
 				kinds = append(kinds, e.Kind)
 			}
-			if out.Status != c.wantStatus || !slices.Equal(kinds, c.wantKinds) || !out.HasDialed || out.HasLeft != (c.disconnectAfter > 0) {
+			if out.Status != c.wantStatus || !slices.Equal(kinds, c.wantKinds) || !out.HasDialed || out.HasDisconnected != (c.disconnectAfter > 0) {
 				t.Errorf("outcome %+v and events %v, want status %d and events %v", out, kinds, c.wantStatus, c.wantKinds)
 			}
 			if c.name == "rejected" && out.RetryAfter != 250*time.Millisecond {
--- a/internal/testkit/faultnet/faultnet.go
+++ b/internal/testkit/faultnet/faultnet.go
@@ -21,13 +21,13 @@
 
 // Link holds the faults of the datagrams and TCP streams that one process sends to another. The zero value has no faults.
 type Link struct {
-	Cut       bool          // datagrams are lost and TCP connections stall without an error, as if a cable were unplugged
-	Reset     bool          // open and new TCP connections are reset; datagrams are forwarded
-	Loss      float64       // probability that a datagram is lost, or that a piece of a TCP stream is delayed by a retransmission
-	Duplicate float64       // probability that a datagram is delivered twice
-	Delay     time.Duration // delay of each datagram and of each piece of a TCP stream
-	Jitter    time.Duration // upper bound of a random delay that is added to Delay; datagrams may overtake one another
-	Rate      int           // throughput of a TCP stream in bytes per second; 0: unlimited
+	IsCut                bool          // datagrams are lost and TCP connections stall without an error, as if a cable were unplugged
+	ResetsConnections    bool          // open and new TCP connections are reset; datagrams are forwarded
+	LossProbability      float64       // probability that a datagram is lost, or that a piece of a TCP stream is delayed by a retransmission
+	DuplicateProbability float64       // probability that a datagram is delivered twice
+	Delay                time.Duration // delay of each datagram and of each piece of a TCP stream
+	Jitter               time.Duration // upper bound of a random delay that is added to Delay; datagrams may overtake one another
+	Rate                 int           // throughput of a TCP stream in bytes per second; 0: unlimited
 }
 
 const (
@@ -114,7 +114,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.links[linkKey{from, to}] = l
-	if l.Reset {
+	if l.ResetsConnections {
 		for nc, key := range n.conns {
 			if key == (linkKey{from, to}) || key == (linkKey{to, from}) {
 				resetConn(nc)
@@ -169,8 +169,8 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f := faults{Link: n.links[key]}
-	f.lost = n.rng.Float64() < f.Loss
-	f.duplicated = n.rng.Float64() < f.Duplicate
+	f.lost = n.rng.Float64() < f.LossProbability
+	f.duplicated = n.rng.Float64() < f.DuplicateProbability
 	if f.delay = f.Delay; f.Jitter > 0 {
 		f.delay += time.Duration(n.rng.Int64N(int64(f.Jitter)))
 	}
@@ -197,7 +197,7 @@
 			continue
 		}
 		f := n.drawFaults(linkKey{n.processName(sender.Addr()), process})
-		if f.Cut || f.lost {
+		if f.IsCut || f.lost {
 			continue
 		}
 		n.forwardDatagram(udp, processAddr, append([]byte(nil), b[:size]...), f.delay)
@@ -256,7 +256,7 @@
 	defer client.Close()
 	n.track(client, key)
 	defer n.untrack(client)
-	if n.drawFaults(key).Reset {
+	if n.drawFaults(key).ResetsConnections {
 		resetConn(client)
 		return
 	}
@@ -339,7 +339,7 @@
 // waitWhileCut returns when a link is not cut, or when the Network is closed. Each check draws random faults, of which waitWhileCut
 // uses only Cut.
 func (n *Network) waitWhileCut(key linkKey) {
-	for n.ctx.Err() == nil && n.drawFaults(key).Cut {
+	for n.ctx.Err() == nil && n.drawFaults(key).IsCut {
 		n.sleep(cutPollInterval)
 	}
 }
--- a/internal/testkit/faultnet/faultnet_test.go
+++ b/internal/testkit/faultnet/faultnet_test.go
@@ -85,16 +85,16 @@
 		minDeliveries, maxDeliveries int // bounds of the number of deliveries if 100 datagrams are sent
 	}{
 		"no faults":        {Link{}, 100, 100},
-		"cut":              {Link{Cut: true}, 0, 0},
-		"loss":             {Link{Loss: 0.3}, 50, 90},
-		"duplicates":       {Link{Duplicate: 1}, 200, 200},
+		"cut":              {Link{IsCut: true}, 0, 0},
+		"loss":             {Link{LossProbability: 0.3}, 50, 90},
+		"duplicates":       {Link{DuplicateProbability: 1}, 200, 200},
 		"delay and jitter": {Link{Delay: 20 * time.Millisecond, Jitter: 10 * time.Millisecond}, 100, 100},
 	} {
 		if delivered := sendAndCount(c.link, 100, c.minDeliveries); delivered < c.minDeliveries || delivered > c.maxDeliveries {
 			t.Errorf("%s: %d deliveries of 100 datagrams, want %d to %d", name, delivered, c.minDeliveries, c.maxDeliveries)
 		}
 	}
-	n.SetLink("b", "a", Link{Cut: true})
+	n.SetLink("b", "a", Link{IsCut: true})
 	if delivered := sendAndCount(Link{}, 10, 10); delivered != 10 {
 		t.Errorf("with only the opposite direction cut, %d of 10 datagrams were delivered, want all", delivered)
 	}
@@ -131,7 +131,7 @@
 	if err := echo(nc); err != nil {
 		t.Errorf("echo over a connection without faults: %v", err)
 	}
-	n.SetLink("a", "b", Link{Cut: true})
+	n.SetLink("a", "b", Link{IsCut: true})
 	nc.SetDeadline(time.Now().Add(100 * time.Millisecond))
 	if err := echo(nc); err == nil {
 		t.Error("echo over a cut link succeeded, want a timeout")
@@ -141,7 +141,7 @@
 	if _, err := io.ReadFull(nc, make([]byte, 1)); err != nil {
 		t.Errorf("echo of the byte that was sent while the link was cut, after it was healed: %v", err)
 	}
-	n.SetLink("a", "b", Link{Reset: true})
+	n.SetLink("a", "b", Link{ResetsConnections: true})
 	if err := echo(nc); err == nil {
 		t.Error("echo over a connection that was reset succeeded, want an error")
 	}
--- a/internal/testkit/fleetsim/fleet_test.go
+++ b/internal/testkit/fleetsim/fleet_test.go
@@ -92,7 +92,7 @@
 
 func (b *newestEndpointBalancer) EndpointList(now time.Duration, list balance.EndpointUpdate) {
 	for _, endpoint := range list.Endpoints {
-		if endpoint.State == balance.Ready && endpoint.Started >= b.newest.Started {
+		if endpoint.State == balance.Ready && endpoint.StartedAt >= b.newest.StartedAt {
 			b.newest = endpoint
 		}
 	}
--- a/internal/testkit/fleetsim/sidecar.go
+++ b/internal/testkit/fleetsim/sidecar.go
@@ -62,7 +62,7 @@
 	sim := s.sim
 	s.isUp, s.requests, s.idleSince, s.endpoints = true, map[string]*request{}, map[string][]time.Duration{}, map[string]*endpoint{}
 	sim.record(invariant.Event{Kind: invariant.SidecarStarted, Sidecar: s.name})
-	settings := balance.Settings{Seed: sim.rng.Uint64() | 1, Balancers: sim.callerCount(s.tier), Index: s.index, Tier: s.tier, TiersBelow: len(tiers) - 1 - s.tier,
+	settings := balance.Settings{Seed: sim.rng.Uint64() | 1, BalancerCount: sim.callerCount(s.tier), BalancerIndex: s.index, Tier: s.tier, TiersBelow: len(tiers) - 1 - s.tier,
 		MaxAttempts: maxAttempts, MaxRetryAfter: time.Second, TimerResolution: time.Millisecond, SlowStartCapacity: sim.day.SlowStart.InitialCapacity, SlowStartDuration: sim.day.SlowStart.Duration}
 	for _, c := range classes {
 		class := balance.Class{Name: c.name, LatencyObjective: c.latencyObjective}
@@ -91,7 +91,7 @@
 
 // listEntry returns the entry of the endpoint in the endpoint list.
 func (e *endpoint) listEntry() balance.Endpoint {
-	return balance.Endpoint{ID: e.id, State: e.listedState, Zone: fmt.Sprint("z", e.zone), Kind: e.kind, Cell: e.cell, Started: e.startedAt}
+	return balance.Endpoint{ID: e.id, State: e.listedState, Zone: fmt.Sprint("z", e.zone), Kind: e.kind, Cell: e.cell, StartedAt: e.startedAt}
 }
 
 // applyList passes an update of the endpoint list to the balancer, after recording in the timeline which states of endpoints the sidecar
@@ -104,7 +104,7 @@
 				s.endpoints[entry.ID] = e
 			}
 		}
-		s.sim.record(invariant.Event{Kind: invariant.NodeStateNotified, Sidecar: s.name, Node: entry.ID, State: invariant.State(entry.State), StartedAt: entry.Started - epoch})
+		s.sim.record(invariant.Event{Kind: invariant.NodeStateNotified, Sidecar: s.name, Node: entry.ID, State: invariant.State(entry.State), StartedAt: entry.StartedAt - epoch})
 	}
 	if update.Complete {
 		s.lastList = update
@@ -223,7 +223,7 @@
 	} else if a.endpoint.openConnections > 0 && result != balance.ConnectFailed {
 		a.endpoint.openConnections--
 	}
-	outcome := balance.Outcome{ID: req.id, Attempt: a.number, Endpoint: a.endpoint.id, Result: result, Latency: s.sim.now - a.sentAt, IsFinal: req.isDone, ReusedConnection: connectionReused}
+	outcome := balance.Outcome{ID: req.id, AttemptNumber: a.number, Endpoint: a.endpoint.id, Result: result, Latency: s.sim.now - a.sentAt, IsFinal: req.isDone, ReusedConnection: connectionReused}
 	if result == balance.OK && !req.isDone {
 		outcome.IsFinal = true
 		s.respond(req, 200)
--- a/internal/testkit/loadgen/http.go
+++ b/internal/testkit/loadgen/http.go
@@ -24,9 +24,9 @@
 	transport  *http.Transport
 }
 
-// NewHTTP returns a sender that keeps up to maxIdleConnections idle connections open. newRequest makes request number n, counted from 0.
+// NewHTTPSender returns a sender that keeps up to maxIdleConnections idle connections open. newRequest makes request number n, counted from 0.
 // dial opens connections; if it is nil, they are opened over the network of the operating system.
-func NewHTTP(newRequest func(n int64) *http.Request, maxIdleConnections int, dial func(ctx context.Context, network, addr string) (net.Conn, error)) *HTTPSender {
+func NewHTTPSender(newRequest func(n int64) *http.Request, maxIdleConnections int, dial func(ctx context.Context, network, addr string) (net.Conn, error)) *HTTPSender {
 	return &HTTPSender{newRequest: newRequest, transport: &http.Transport{DialContext: dial, MaxIdleConns: maxIdleConnections, MaxIdleConnsPerHost: maxIdleConnections,
 		IdleConnTimeout: time.Minute, DisableCompression: true, MaxResponseHeaderBytes: 1 << 20}}
 }
@@ -34,7 +34,7 @@
 // Close closes all idle connections. Connections with a request in flight stay open.
 func (h *HTTPSender) Close() { h.transport.CloseIdleConnections() }
 
-// NewRequestTemplate returns a function for NewHTTP whose requests differ only in their number, which replaces each "{n}" in the URL.
+// NewRequestTemplate returns a function for NewHTTPSender whose requests differ only in their number, which replaces each "{n}" in the URL.
 func NewRequestTemplate(method, url string, header http.Header, body []byte) (func(n int64) *http.Request, error) {
 	makeRequest := func(n int64) (*http.Request, error) {
 		r, err := http.NewRequest(method, strings.ReplaceAll(url, "{n}", fmt.Sprint(n)), bytes.NewReader(body))
--- a/internal/testkit/loadgen/report.go
+++ b/internal/testkit/loadgen/report.go
@@ -22,7 +22,7 @@
 	Kind             string                                `json:"kind"` // always "load", which tells a load test's file from other results
 	Runs             int                                   `json:"runs"`
 	IsValid          bool                                  `json:"valid"`
-	InvalidReason    string                                `json:"invalid,omitempty"` // Result.Invalid: the reason why the measurements are not valid; absent if they are
+	InvalidReason    string                                `json:"invalid,omitempty"` // Result.InvalidReason: the reason why the measurements are not valid; absent if they are
 	WasInterrupted   bool                                  `json:"interrupted"`
 	SendSeconds      float64                               `json:"sent_s"` // Result.SendDuration in seconds
 	Scheduled        int64                                 `json:"due"`
@@ -62,7 +62,7 @@
 
 // Write writes the result as a JSON object, which Read decodes. Options are not written.
 func (r *Result) Write(w io.Writer) error {
-	f := resultFile{Format: FormatVersion, Kind: "load", Runs: r.Runs, IsValid: r.Invalid == "", InvalidReason: r.Invalid, WasInterrupted: r.Interrupted,
+	f := resultFile{Format: FormatVersion, Kind: "load", Runs: r.Runs, IsValid: r.InvalidReason == "", InvalidReason: r.InvalidReason, WasInterrupted: r.Interrupted,
 		SendSeconds: r.SendDuration.Seconds(), Scheduled: r.Scheduled, NotSent: r.NotSent, Resent: r.Resent, CountByOutcome: r.CountByOutcome(),
 		LatencyByOutcome: r.LatencyByOutcome, Latency: r.Latency, ServiceTime: r.ServiceTime, SendLateness: r.SendLateness,
 		Percentiles: map[string]map[string]string{"all": formatPercentiles(r.Latency), "service": formatPercentiles(r.ServiceTime),
@@ -83,7 +83,7 @@
 		return nil, fmt.Errorf("the file has format %d and kind %q, want format %d and kind \"load\"", f.Format, f.Kind, FormatVersion)
 	}
 	r := newResult(Options{})
-	r.Runs, r.Invalid, r.Interrupted, r.SendDuration = f.Runs, f.InvalidReason, f.WasInterrupted, time.Duration(f.SendSeconds*float64(time.Second))
+	r.Runs, r.InvalidReason, r.Interrupted, r.SendDuration = f.Runs, f.InvalidReason, f.WasInterrupted, time.Duration(f.SendSeconds*float64(time.Second))
 	r.Scheduled, r.NotSent, r.Resent = f.Scheduled, f.NotSent, f.Resent
 	for _, l := range []*schedule.LatencyHistogram{f.Latency, f.ServiceTime, f.SendLateness} {
 		if l == nil {
@@ -113,8 +113,8 @@
 	r.Scheduled, r.NotSent, r.Resent = r.Scheduled+o.Scheduled, r.NotSent+o.NotSent, r.Resent+o.Resent
 	r.SendDuration = max(r.SendDuration, o.SendDuration)
 	r.Interrupted = r.Interrupted || o.Interrupted
-	if r.Invalid == "" {
-		r.Invalid = o.Invalid
+	if r.InvalidReason == "" {
+		r.InvalidReason = o.InvalidReason
 	}
 	for outcome, l := range o.LatencyByOutcome {
 		if r.LatencyByOutcome[outcome] == nil {
@@ -169,8 +169,8 @@
 	if r.Interrupted {
 		b.WriteString("\ninterrupted: the result is that of what was sent by then\n")
 	}
-	if r.Invalid != "" {
-		fmt.Fprintf(&b, "\nNOT VALID: %s\n", r.Invalid)
+	if r.InvalidReason != "" {
+		fmt.Fprintf(&b, "\nNOT VALID: %s\n", r.InvalidReason)
 	}
 	_, err := io.WriteString(w, b.String())
 	return err
--- a/internal/testkit/loadgen/result.go
+++ b/internal/testkit/loadgen/result.go
@@ -26,8 +26,8 @@
 	SendLateness     *schedule.LatencyHistogram // times from when a request was due to when the generator had written it
 	Seconds          []Second                   // measurements of the requests that were due in each second of the run; Seconds[0] is for the first second
 
-	Interrupted bool   // whether the run was ended before Options.Duration had passed
-	Invalid     string // reason why the generator was too slow to measure the server; empty if the measurements are valid
+	Interrupted   bool   // whether the run was ended before Options.Duration had passed
+	InvalidReason string // reason why the generator was too slow to measure the server; empty if the measurements are valid
 }
 
 // CountByOutcome returns the number of requests by HTTP status, or by Response.Failure for requests without a complete response.
@@ -98,6 +98,6 @@
 // checkSendLateness sets r.Invalid if the p99 of SendLateness exceeds Options.MaxSendLateness.
 func (r *Result) checkSendLateness() {
 	if p99 := r.SendLateness.Quantile(0.99); p99 > r.Options.MaxSendLateness {
-		r.Invalid = fmt.Sprintf("the generator itself was late by %v (p99), %v are allowed: this machine, not the server, is the limit", p99.Round(10*time.Microsecond), r.Options.MaxSendLateness)
+		r.InvalidReason = fmt.Sprintf("the generator itself was late by %v (p99), %v are allowed: this machine, not the server, is the limit", p99.Round(10*time.Microsecond), r.Options.MaxSendLateness)
 	}
 }
--- a/internal/testkit/loadgen/run_test.go
+++ b/internal/testkit/loadgen/run_test.go
@@ -106,7 +106,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sender := NewHTTP(newRequest, o.Connections, network.dial)
+	sender := NewHTTPSender(newRequest, o.Connections, network.dial)
 	result, err := Run(t.Context(), o, sender)
 	if err != nil {
 		t.Fatal(err)
@@ -169,9 +169,9 @@
 					}
 				}
 				if result.Scheduled != result.CountByOutcome()["200"] || result.Latency.Count() != result.Scheduled || result.NotSent != 0 ||
-					result.Invalid != "" || result.SendLateness.Max() > time.Millisecond {
+					result.InvalidReason != "" || result.SendLateness.Max() > time.Millisecond {
 					t.Errorf("%d requests were scheduled, outcomes: %v, %d not sent, invalid: %q, sent late by up to %v; want all sent on time with status 200",
-						result.Scheduled, result.CountByOutcome(), result.NotSent, result.Invalid, result.SendLateness.Max())
+						result.Scheduled, result.CountByOutcome(), result.NotSent, result.InvalidReason, result.SendLateness.Max())
 				}
 				if name == "stall" {
 					closedLoop := measureClosedLoop(t, o.Duration, d)
@@ -256,7 +256,7 @@
 					}
 				}()
 				newRequest, _ := NewRequestTemplate(http.MethodGet, "http://server/", nil, nil)
-				sender := NewHTTP(newRequest, 100, network.dial)
+				sender := NewHTTPSender(newRequest, 100, network.dial)
 				o := Options{Process: schedule.Process{Rate: schedule.Steady(20)}, Duration: time.Second, ResponseTimeout: 3 * time.Second, Connections: 100}
 				result, err := Run(t.Context(), o, sender)
 				if err != nil {
@@ -286,8 +286,8 @@
 		o := Options{Process: schedule.Process{Rate: schedule.Steady(100)}, Duration: time.Second, ResponseTimeout: time.Second, Connections: 100}
 		for lateness, wantValid := range map[time.Duration]bool{time.Millisecond: true, 50 * time.Millisecond: false} {
 			result, err := Run(t.Context(), o, lateSender{lateness})
-			if err != nil || (result.Invalid == "") != wantValid {
-				t.Errorf("generator late by %v: error %v, invalid: %q, want valid: %v", lateness, err, result.Invalid, wantValid)
+			if err != nil || (result.InvalidReason == "") != wantValid {
+				t.Errorf("generator late by %v: error %v, invalid: %q, want valid: %v", lateness, err, result.InvalidReason, wantValid)
 			}
 		}
 	})
--- a/internal/testkit/rehearse/client.go
+++ b/internal/testkit/rehearse/client.go
@@ -57,7 +57,7 @@
 		}
 		isRejected := isRejection(response.Status)
 		mayHaveRun := class.Effect != invariant.Safe && response.IsAccepted && !isRejected
-		if response.HasLeft || o.attemptsSent > request.MaxRetries || mayHaveRun {
+		if response.HasDisconnected || o.attemptsSent > request.MaxRetries || mayHaveRun {
 			return
 		}
 		delay := request.Backoff
@@ -87,7 +87,7 @@
 		attempt.CostHint = costHint(request)
 	}
 	if attemptsSent == 0 {
-		attempt.LeaveAfter = request.DisconnectAfter
+		attempt.DisconnectAfter = request.DisconnectAfter
 	}
 	return attempt
 }
--- a/internal/testkit/rehearse/cluster.go
+++ b/internal/testkit/rehearse/cluster.go
@@ -124,7 +124,7 @@
 }
 
 // recordProcessEvent records that a sidecar's process was started, began to shut down, or ended.
-func (c *cluster) recordProcessEvent(kind clusterinvariant.Kind, sidecar string) {
+func (c *cluster) recordProcessEvent(kind clusterinvariant.EventKind, sidecar string) {
 	if c == nil {
 		return
 	}
--- a/internal/testkit/rehearse/cluster_config.go
+++ b/internal/testkit/rehearse/cluster_config.go
@@ -147,13 +147,13 @@
 func (f *LinkFault) linkState() faultnet.Link {
 	switch f.Kind {
 	case "cut":
-		return faultnet.Link{Cut: true}
+		return faultnet.Link{IsCut: true}
 	case "reset":
-		return faultnet.Link{Reset: true}
+		return faultnet.Link{ResetsConnections: true}
 	case "loss":
-		return faultnet.Link{Loss: f.Magnitude}
+		return faultnet.Link{LossProbability: f.Magnitude}
 	case "duplicate":
-		return faultnet.Link{Duplicate: f.Magnitude}
+		return faultnet.Link{DuplicateProbability: f.Magnitude}
 	}
 	delay := time.Duration(f.Magnitude * float64(time.Second))
 	return faultnet.Link{Delay: delay, Jitter: delay}
--- a/internal/testkit/rehearse/faulty_sidecar_test.go
+++ b/internal/testkit/rehearse/faulty_sidecar_test.go
@@ -200,7 +200,7 @@
 	endpoint := b.readyIDs[b.attemptCount%len(b.readyIDs)]
 	if b.fault == "overloads warming nodes" {
 		for id, e := range b.readyEndpoints {
-			if e.Started > b.readyEndpoints[endpoint].Started {
+			if e.StartedAt > b.readyEndpoints[endpoint].StartedAt {
 				endpoint = id
 			}
 		}
--- a/internal/testkit/swimsim/simulation.go
+++ b/internal/testkit/swimsim/simulation.go
@@ -210,7 +210,7 @@
 	var buffer [transport.MaxDatagramBytes]byte
 	for _, e := range n.TakeMessages() {
 		s.Messages++
-		s.Bytes += uint64(len(transport.AppendSwimMessage(buffer[:0], e.Message))) + transport.MaxOverheadBytes
+		s.Bytes += uint64(len(transport.AppendSwimMessage(buffer[:0], e.Message))) + transport.MaxPacketOverheadBytes
 		to := s.nodesByAddr[e.To]
 		if to == nil || to.IsDown || s.IsCut != nil && s.IsCut(n.Index, to.Index) {
 			continue
--- a/internal/testkit/swimsim/simulation_test.go
+++ b/internal/testkit/swimsim/simulation_test.go
@@ -44,7 +44,7 @@
 }
 
 // recordFact records a start, shutdown or end of node n or, if n is nil, the beginning or end of a fault.
-func (s *checkedSimulation) recordFact(kind clusterinvariant.Kind, n *Node) {
+func (s *checkedSimulation) recordFact(kind clusterinvariant.EventKind, n *Node) {
 	e := clusterinvariant.Event{At: s.Now, Kind: kind}
 	if n != nil {
 		e.Subject = n.Peer.Name
