--- a/balance/admission.go
+++ b/balance/admission.go
@@ -10,7 +10,7 @@
 	quotaBurstSeconds     = 1.0  // size of a tenant's token bucket, in seconds of its quota
 	shedStretch           = 1.2  // recent latency / baseline latency above which over-quota load may be shed
 	highRateQuotaMultiple = 1.3  // request rate / Balancer.totalQuota above which the request rate is high
-	maxQueueTimeFraction  = 0.05 // longest time in the queue, as a fraction of meanLatencyObjective
+	maxQueueTimeFraction  = 0.05 // longest time that a request is queued / Balancer.meanLatencyObjective
 
 	// minTimeLeftFraction is the least time to its deadline with which a request is admitted while others are
 	// queued, as a fraction of the expected latency.
@@ -42,8 +42,9 @@
 		len(b.queue) > 0 && !b.canMeetDeadline(now, req, minTimeLeftFraction)
 }
 
-// chargeQuota charges a request to the token bucket of its tenant and reports whether it exceeds the quota.
-// Quotas apply only in the first tier, because one client request causes several requests in the tiers below.
+// chargeQuota charges a request to the token bucket of its tenant and reports whether the request exceeds the
+// tenant's quota. Quotas apply only in the first tier, because one client request causes several requests in
+// the tiers below.
 func (b *Balancer) chargeQuota(now time.Duration, req *request) bool {
 	t := b.tenants[req.Tenant]
 	if t == nil || t.Quota <= 0 || b.settings.Tier > 0 {
@@ -67,7 +68,7 @@
 	switch {
 	case len(req.attempts) > 0:
 		return req.giveUpAt
-	case b.availableCount == 0: // wait until no endpoint could respond in time any more
+	case b.availableCount == 0: // wait while a newly available endpoint could still respond in time
 		return req.giveUpAt - seconds(b.baselineSeconds(req))
 	}
 	return min(req.giveUpAt, req.arrivedAt+seconds(maxQueueTimeFraction*b.meanLatencyObjective))
@@ -82,7 +83,8 @@
 // rejectOrFail sends the final response: a rejection if a retry by the client is harmless, else a failure.
 func (b *Balancer) rejectOrFail(now time.Duration, req *request) {
 	if req.isQueued && len(req.attempts) == 0 && float64(b.inFlight) < b.concurrencyLimit {
-		b.admittedCounter.add(now) // admitted by the concurrency limit, but no endpoint could take it
+		// The request counts as admitted: it is within the concurrency limit, but no endpoint could take it.
+		b.admittedCounter.add(now)
 	}
 	if req.canReject() {
 		b.host.Reject(req.ID, min(b.jitter(meanRetryAfter), b.settings.MaxRetryAfter))
--- a/balance/api.go
+++ b/balance/api.go
@@ -43,8 +43,9 @@
 	// up. The ID need not be listed; the host bounds the number of ejected endpoints.
 	SetEjected(now time.Duration, id string, ejected bool)
 
-	// SetBalancerCount reports how many balancers send to these endpoints from now on, this balancer included, and the index
-	// of this balancer among all of them, from 0. Latency estimates, ejections and the other state of the endpoints stay.
+	// SetBalancerCount reports how many balancers send to the listed endpoints from now on, this balancer included, and the
+	// index of this balancer among all these balancers, from 0. Latency estimates, ejections and the other state of the
+	// endpoints stay.
 	SetBalancerCount(now time.Duration, balancers, index int)
 
 	// IsKnown reports whether an endpoint is listed or ejected by operators. The call has no side effects.
@@ -105,7 +106,7 @@
 	Idempotency      Idempotency   // whether requests of the class may run more than once
 	DedupScope       DedupScope    // which endpoints drop duplicates of one another's requests; for IdempotencyKey only
 	DedupWindow      time.Duration // how long after the first attempt duplicates are dropped; for IdempotencyKey only
-	LatencyObjective time.Duration // time within which a response is wanted
+	LatencyObjective time.Duration // a response is on time if it comes within this time of the request's arrival
 }
 
 // Tenant holds the quota of one of the parties that share the endpoints.
@@ -118,7 +119,7 @@
 // SetBalancerCount replaces. The zero value of every field is valid.
 type Settings struct {
 	Seed          uint64   // seed of the random choices, which should differ between balancers
-	BalancerCount int      // number of balancers that send to these endpoints, this one included
+	BalancerCount int      // number of balancers that send to the same endpoints as this balancer, this one included
 	BalancerIndex int      // index of this balancer among the BalancerCount balancers, from 0
 	Tier          int      // number of tiers of balancers between the clients and this one
 	TiersBelow    int      // number of tiers that the endpoints depend on to serve a request
@@ -131,13 +132,13 @@
 	MaxSubscribeInterval time.Duration
 
 	MaxAttempts   int           // attempts allowed per request; 0: no limit
-	CanCancel     bool          // whether the host may cancel attempts
-	CanProbe      bool          // whether the host may send load probes, and endpoints respond to load probes with a load report
+	CanCancel     bool          // whether the balancer is allowed to cancel attempts
+	CanProbe      bool          // whether the balancer is allowed to send load probes, and endpoints respond to them with a load report
 	MaxRetryAfter time.Duration // longest Retry-After that clients honour; 0: Retry-After does not reach them
 
 	TimerResolution   time.Duration // longest delay with which the host reports events and timers
 	SlowStartCapacity float64       // least fraction of its full capacity that an endpoint has when it starts
-	SlowStartDuration time.Duration // time after its start at which an endpoint has its full capacity
+	SlowStartDuration time.Duration // time from the start of an endpoint until it has its full capacity
 }
 
 // State is the state of an endpoint according to discovery.
@@ -211,12 +212,12 @@
 	Endpoint         string        // ID of the endpoint that the attempt was sent to
 	Result           Result        // how the attempt ended
 	Latency          time.Duration // time from the sending of the attempt to its end
-	IsFinal          bool          // whether the request has its final response
+	IsFinal          bool          // whether the request already has its final response when the outcome is reported
 	ReusedConnection bool          // whether the attempt was sent on a connection that had served another attempt before
 	BodyConsumed     bool          // whether bytes of a streaming body were consumed, so that no retry is possible
 }
 
-// ProbeResult is the result of a load probe.
+// ProbeResult tells how a load probe ended and which load the probed endpoint reported.
 type ProbeResult struct {
 	Endpoint string // ID of the endpoint that got the load probe
 	Result   Result // how the load probe ended; OK if the endpoint responded
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -36,9 +36,9 @@
 	manuallyEjected map[string]bool      // IDs of endpoints ejected by operators, listed or not
 
 	subset               []*endpoint // endpoints that this balancer uses
-	subsetSizeByRate     float64     // subset size for the request rate, updated after changes by over 50%
-	pickSample           []*endpoint // candidates of the last pick; used if fullScanLimit is exceeded
-	recentlyUsed         []*endpoint // last endpoints used, oldest first; empty unless the subset is large
+	subsetSizeByRate     float64     // subset size for the request rate; updated once it is off by over 50%
+	pickSample           []*endpoint // candidates of the last pick from a subset above fullScanLimit
+	recentlyUsed         []*endpoint // last endpoints sent to, oldest first; for subsets above fullScanLimit
 	cachedSmallestWeight float64     // smallest weight of the active endpoints, cached if the subset is large
 	cachedWeightUses     int         // number of times that cachedSmallestWeight may still be used
 
@@ -49,13 +49,13 @@
 	resubscribeAt      time.Duration // instant of the next subscription to discovery; 0: none is due
 	resubscribeBackoff time.Duration // backoff before the next subscription, jitter excluded; 0: none
 
-	inFlight         int           // attempts that wait for a response, streaming bodies excluded
+	inFlight         int           // attempts that wait for a response and do not stream a body
 	concurrencyLimit float64       // limit of inFlight, which retries may exceed
 	recentStretch    float64       // smoothed stretch (latency / baseline latency) of all responses
 	stretchUpdatedAt time.Duration // instant of the last response that updated recentStretch
 	nextReductionAt  time.Duration // instant before which the concurrency limit is not reduced again
 
-	lastSlowStartRoundSeconds float64 // time between an endpoint's requests at the last rebuild of the subset
+	lastSlowStartRoundSeconds float64 // mean time between an endpoint's requests at the last subset rebuild
 	retryBudget               float64 // retries that may still be sent, at most maxRetryBudget
 	errorRate                 float64 // fraction of error responses among recent results of all endpoints
 	meanReportedLoad          float64 // smoothed number of requests in the load reports of all endpoints
@@ -118,7 +118,7 @@
 }
 
 // applyAvailabilityChange updates the subset, the concurrency limit and the queue after the set of available
-// endpoints has changed. availableBefore is their number before the change.
+// endpoints has changed. availableBefore is the number of available endpoints before the change.
 func (b *Balancer) applyAvailabilityChange(now time.Duration, availableBefore int) {
 	b.rebuildSubset(now)
 	if availableBefore > 0 && b.availableCount > 0 { // the limit must not overload the remaining endpoints
@@ -189,7 +189,7 @@
 		} else {
 			ep = b.pickBelowFairUsage(now, req)
 		}
-		if ep == nil && isRetry { // search all: endpoints that drop duplicates may be outside the subset
+		if ep == nil && isRetry { // search all listed endpoints: one outside the subset may drop duplicates
 			ep = b.pick(now, req, b.endpoints)
 		}
 		if ep != nil {
--- a/balance/concurrency.go
+++ b/balance/concurrency.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Constants of the adaptive concurrency limit, which bounds the attempts in flight at all endpoints,
-// streaming bodies excluded.
+// Constants of the adaptive concurrency limit, which bounds the attempts in flight at all endpoints together.
+// Attempts whose request or response body is streaming do not count.
 const (
 	initialLimitPerEndpoint = 6.0             // limit before any response, in attempts per endpoint
 	stretchTimeConstant     = 2 * time.Second // time in which a response's part of recentStretch falls to 1/e
 	maxResponseStretch      = 3.0             // cap on a sample of recentStretch, as it may be an outlier
 	congestionStretch       = 1.6             // recentStretch above which the limit is reduced if in use
 	limitGrowthStretch      = 1.5             // recentStretch below which the limit grows when reached
-	usedLimitFraction       = 0.6             // part of the limit in flight above which the limit is in use
+	usedLimitFraction       = 0.6             // attempts in flight / limit above which the limit is in use
 
 	// limitGrowthGain is the number of attempts that a response adds to the limit, divided by the difference
 	// limitGrowthStretch - recentStretch.
--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -8,7 +8,7 @@
 const (
 	maxActiveWeightRatio = 2.0                    // largest weight of an active endpoint / smallest weight
 	minBackoff           = 500 * time.Millisecond // least initial backoff; b_min in Cicconetti et al.
-	outlierErrorMultiple = 1.5                    // error rate of an outlier, as a multiple of b.errorRate
+	outlierErrorMultiple = 1.5                    // outlier if endpoint.errorRate / b.errorRate is higher
 	overdueMultiple      = 3.0                    // time after which an attempt is overdue / expected latency
 
 	// maxBackoffMultiple is the largest backoff, as a multiple of the initial backoff. The backoff is
@@ -96,7 +96,9 @@
 	att := &req.attempts[i]
 	ep, isSilent := att.endpoint, att.endpoint.lastResponseAt < att.waitingSince
 	att.wasOverdue, att.overdueAt = true, now+(now-att.waitingSince)
-	if att.bodyStreaming { // no latency sample; the next trial does not wait for the stream's end
+	if att.bodyStreaming {
+		// The duration of a stream is no latency sample. If the attempt is a trial, the next trial is
+		// scheduled now, since the stream may take long.
 		if att.isTrial {
 			att.isTrial, ep.trialInFlight = false, false
 			b.scheduleTrial(now, ep, false)
--- a/balance/ejection_test.go
+++ b/balance/ejection_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// An endpoint that does not respond is ejected when its first attempt is overdue. The timeout of the attempt would come later, and
-// the latency sample of one overdue attempt does not yet raise the endpoint's weight enough for an ejection.
+// An endpoint that does not respond is ejected when the first attempt sent to it is overdue. This attempt would time out later, and
+// its latency sample alone does not raise the endpoint's weight enough for an ejection.
 func TestUnresponsiveEndpointIsEjectedAtItsFirstOverdueAttempt(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b", "c", "d")
 	h.serve(200, map[string]time.Duration{"a": 50 * ms, "b": 50 * ms, "c": 50 * ms, "d": 50 * ms})
@@ -99,8 +99,8 @@
 	if len(attemptedAt) < 4 || len(attemptedAt) > 12 {
 		t.Errorf("the endpoint that is down got %d attempts in 20 s, want 4 to 12", len(attemptedAt))
 	}
-	// By index 3, a failed trial has doubled the initial backoff, which is at least 500 ms. Jitter cannot make the doubled backoff
-	// shorter than 500 ms.
+	// By attempt 3 at the endpoint, counted from 0, a failed trial has doubled the initial backoff, which is at least 500 ms. Jitter
+	// cannot make the doubled backoff shorter than 500 ms.
 	for i := 3; i < len(attemptedAt); i++ {
 		if wait := attemptedAt[i] - attemptedAt[i-1]; wait < 500*ms {
 			t.Errorf("trial %d came %v after the one before, want at least 500 ms", i, wait)
--- a/balance/endpoint.go
+++ b/balance/endpoint.go
@@ -37,7 +37,7 @@
 // isAvailable reports whether the endpoint may get new attempts.
 func (e *endpoint) isAvailable() bool { return e.State == Ready && !e.manuallyEjected }
 
-// hasFreshLoadReport reports whether the last load report is recent enough to be used.
+// hasFreshLoadReport reports whether the endpoint's last load report is at most loadReportLifetime old.
 func (e *endpoint) hasFreshLoadReport(now time.Duration) bool {
 	return e.reportedLoadAt > 0 && now-e.reportedLoadAt <= loadReportLifetime
 }
--- a/balance/endpointlist.go
+++ b/balance/endpointlist.go
@@ -52,7 +52,7 @@
 		slices.ContainsFunc(b.endpoints, func(ep *endpoint) bool { return ep.State == Ready })
 }
 
-// IsKnown implements Events; an endpoint that operators have ejected need not be listed.
+// IsKnown implements Events. An endpoint that operators have ejected is known even if it is not listed.
 func (b *Balancer) IsKnown(id string) bool { return b.manuallyEjected[id] || b.endpointByID[id] != nil }
 
 // EndpointCounts implements Events. It counts only listed endpoints as ejected, and each of them once.
--- a/balance/invariant_test.go
+++ b/balance/invariant_test.go
@@ -13,7 +13,7 @@
 // deadlineSlack is the time after its deadline in which a request may still get its final response.
 const deadlineSlack = 20 * ms
 
-// simAttempt is the state of an attempt in the simulation.
+// simAttempt is an attempt that the balancer has sent, with the end that the simulation has chosen for the attempt.
 type simAttempt struct {
 	endpoint       balance.Endpoint
 	sentAt, endsAt time.Duration
@@ -141,7 +141,7 @@
 	sim.responseCounts[2]++
 }
 
-// recordResponse records that the request has got its final response, by Reject or Fail.
+// recordResponse records that the balancer has ended the request by a call of Host.Reject or Host.Fail.
 func (sim *simulation) recordResponse(id string) *simRequest {
 	sim.actions = append(sim.actions, fmt.Sprintf("%v final response %s", sim.now, id))
 	req := sim.requests[id]
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -10,7 +10,7 @@
 const (
 	ewmaAlpha        = 0.95             // largest fraction of old samples kept; α in Cicconetti et al.
 	ewmaTimeConstant = 10 * time.Second // longest time in which a sample's weight falls to 1/e
-	kindPriorSamples = 3.0              // kind.weight counts as much as so many of an endpoint's own samples
+	kindPriorSamples = 3.0              // an endpoint's own samples that count as much as kind.weight
 	kindWeightGain   = 0.03             // least EWMA gain of kind.weight, per response
 	recentMeanGain   = 0.05             // least EWMA gain of mean latency, error rate and load, per sample
 	maxSampleStretch = 20.0             // largest stretch that one sample contributes to a weight
@@ -19,7 +19,7 @@
 	// requests. Then it follows a lower mean fast and a higher one slowly, so that an overload hardly
 	// raises it.
 	baselineLearningSeconds = 1.5              // initial seconds in which the baseline is the mean latency
-	baselineFallGain        = 0.02             // part of the gap to a lower mean that a response closes
+	baselineFallGain        = 0.02             // fraction of baseline - mean latency subtracted per response
 	baselineRiseTime        = 60 * time.Second // time constant of the baseline's rise to a higher mean
 )
 
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -17,9 +17,9 @@
 	// multiple of the endpoint's weight. A discount of 4 weights made 1% of responses late.
 	idleConnectionDiscount = 2.0
 
-	// reportedLoadCharge is the least difference between the deficits of an endpoint with a load report and
-	// of the picked endpoint, per request in the report, as a multiple of the picked endpoint's weight. The
-	// higher deficit makes the next load probes go to other endpoints.
+	// reportedLoadCharge is the charge for each request in a load report, as a multiple of the picked
+	// endpoint's weight. An endpoint that has just sent a load report but was not picked gets at least the
+	// deficit of the picked endpoint plus these charges, so that the next load probes go to other endpoints.
 	reportedLoadCharge = 0.5
 
 	// maxDeficitLag is how far a deficit may be below that of the picked endpoint, as a multiple of the
@@ -28,9 +28,9 @@
 
 	sharedLatencyFraction = 0.7 // assumed part of the smallest weight that the tiers below cause
 
-	// maxEndpointUsageMultiple times an even part of the concurrency limit is the largest number of attempts
-	// in flight that counts for one endpoint when pickBelowFairUsage adds them up. If the sum is below the
-	// limit, a few endpoints use up the limit.
+	// pickBelowFairUsage adds up the attempts in flight of all endpoints, but counts for one endpoint at most
+	// maxEndpointUsageMultiple times an even part of the concurrency limit. If the limit is reached but this
+	// sum is below the limit, a few endpoints with more attempts than that use up the limit.
 	maxEndpointUsageMultiple = 1.4
 
 	fullScanLimit       = 256 // largest subset scanned by each pick; larger ones are sampled
@@ -231,9 +231,9 @@
 	return s
 }
 
-// smallestActiveWeight returns the smallest weight of an active endpoint. For a large subset the result is
-// cached and reused so often that the scans cost no more than the picks; between two scans an endpoint gets
-// one or two latency samples.
+// smallestActiveWeight returns the smallest weight of an active endpoint. For a large subset, the result of a
+// scan is cached for len(b.subset)/pickSampleSize calls, so that scans cost no more than picks. Between two
+// scans an endpoint gets one or two latency samples.
 func (b *Balancer) smallestActiveWeight() float64 {
 	if len(b.subset) <= fullScanLimit {
 		return b.summarizeActive().smallestWeight
--- a/balance/pick_test.go
+++ b/balance/pick_test.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// An endpoint with an idle connection gets a few requests in a row, but not more requests in total.
+// An endpoint with an idle connection gets a few requests in a row, but in total all endpoints get about the same number.
 func TestIdleConnectionIsUsedForAFewRequestsInARow(t *testing.T) {
 	h := newHarness(t, defaultSettings(), "a", "b", "c", "d")
 	h.idleConnections = map[string]bool{}
--- a/balance/request.go
+++ b/balance/request.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// hasAttemptInFlight reports whether the Outcome of any attempt has not been reported yet.
+// hasAttemptInFlight reports whether at least one attempt of the request still has no Outcome.
 func (r *request) hasAttemptInFlight() bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.inFlight })
 }
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -15,9 +15,9 @@
 		b.retryBudget >= 1 && b.canMeetDeadline(now, req, 1)
 }
 
-// isSafeToSend reports whether the request cannot take effect twice if it is sent to the endpoint now. No
-// attempt may be in flight. If an attempt may have run, the request must be idempotent, or the endpoint must
-// drop it as a duplicate.
+// isSafeToSend reports whether the request cannot take effect twice if it is sent to the endpoint now. It
+// returns false while an attempt is in flight. After an attempt that may have run, it returns true only if
+// the request is idempotent or the endpoint drops it as a duplicate.
 func (b *Balancer) isSafeToSend(now time.Duration, req *request, ep *endpoint) bool {
 	for i := range req.attempts {
 		att, c := &req.attempts[i], req.class
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// slowStartLoadMultiple is the rate of requests to an endpoint that is warming up, divided by the rate in
-// proportion to its capacity (see capacityFraction). It is above 1 to get latency samples soon, and low
-// enough that all balancers together do not overload the endpoint.
+// slowStartLoadMultiple is the rate of requests to an endpoint that is warming up, divided by the rate that
+// would be proportional to the endpoint's capacity (see capacityFraction). It is above 1 to get latency
+// samples soon, and low enough that all balancers together do not overload the endpoint.
 const slowStartLoadMultiple = 1.5
 
 // paceSlowStart updates the slow start after a rebuild of the subset. An endpoint that is warming up gets its
--- a/balance/slowstart_fleet_test.go
+++ b/balance/slowstart_fleet_test.go
@@ -9,8 +9,8 @@
 	"tuliprock/balance"
 )
 
-// The simulated platform has many balancers with little traffic each. Its endpoints start at a seventh of their capacity, warm
-// up slowly and are overloaded within a second.
+// The simulated platform has many balancers with little traffic each. Its endpoints start at a seventh of their capacity and warm
+// up slowly. An endpoint is overloaded if it gets more than three times the requests that it can serve, within one second.
 const (
 	fleetBalancers       = 47
 	fleetEndpoints       = 120
@@ -19,7 +19,7 @@
 	fleetSlowStart       = 24 * time.Second // time in which an endpoint reaches its full capacity
 	overloadMultiple     = 3.0              // load that overloads an endpoint, as a multiple of the endpoint's capacity
 	overloadWindow       = time.Second      // time over which the load of an endpoint is measured
-	warmUtilization      = 1.3              // evenly spread requests at each endpoint / its full capacity; above 1 due to clients' retries
+	warmUtilization      = 1.3              // request rate per endpoint if spread evenly / rate that a warm endpoint can serve; above 1 due to clients' retries
 	fleetServiceTime     = 50 * ms          // latency of all attempts
 )
 
@@ -39,7 +39,7 @@
 	index        int              // index of the balancer in the fleet, from 0
 	incarnation  int              // number of times that the balancer has been started
 	requestCount int              // requests that the balancer has got
-	requestsDue  float64          // requests due but not sent; a fraction is the part of the interval to the next request that has passed
+	requestsDue  float64          // number of requests due but not sent; grows by fleetRequestRate per second, so it may be a fraction
 	pending      []pendingOutcome // outcomes not yet reported to the balancer, in order of time
 	timers       []time.Duration  // instants of the timers that have not fired yet
 }
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -12,7 +12,7 @@
 // subsets, so that one subset more or less matters little for the load of the endpoint.
 const (
 	// subsetRequestInterval is the interval at which an endpoint must get requests from a balancer so
-	// that its weight there stays current.
+	// that the balancer's weight for the endpoint stays current.
 	subsetRequestInterval = time.Second
 
 	balancersPerEndpoint = 12.0 // least number of subsets that contain an endpoint
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,7 +1,8 @@
-// Simhost hosts balancers for the fleet simulator. It reads batches of events from standard input, passes each event to the
-// balancer of the instance that the event names, and writes one reply per batch, with the balancers' actions, to standard
-// output. It makes no balancing decision itself. The balancers share no state, and the program uses one goroutine. It exits
-// with code 0 at the end of input. At a malformed line it writes the reason to standard error and exits with code 1.
+// Simhost hosts the balancers of simulated sidecars, which are called instances, for the fleet simulator. It reads batches of
+// events from standard input, passes each event to the balancer of the instance that the event is for, and writes one reply per
+// batch, with the balancers' actions, to standard output. It makes no balancing decision itself. The balancers share no state,
+// and the program uses one goroutine. It exits with code 0 at the end of input. At a malformed line it writes the reason to
+// standard error and exits with code 1.
 package main
 
 import (
@@ -37,16 +38,16 @@
 	out       io.Writer
 	reader    *simwire.Reader
 	reply     simwire.Reply             // actions that the balancers have requested in the current batch
-	balancers map[int]*balance.Balancer // running balancers, by instance number
+	balancers map[int]*balance.Balancer // running balancers, by the number of their simulated sidecar
 }
 
-// Start implements simwire.Handler: it creates the balancer of an instance, or replaces it.
+// Start implements simwire.Handler: it creates the balancer of a simulated sidecar, or replaces its earlier balancer.
 func (h *host) Start(instance int, s balance.Settings) error {
 	h.balancers[instance] = balance.New(h.reader.Now(), s, h.reply.Host(instance))
 	return nil
 }
 
-// Stop implements simwire.Handler: it discards the balancer of an instance.
+// Stop implements simwire.Handler: it discards the balancer of a simulated sidecar.
 func (h *host) Stop(instance int) error {
 	if _, err := h.Instance(instance); err != nil {
 		return err
@@ -55,7 +56,7 @@
 	return nil
 }
 
-// Instance implements simwire.Handler. It returns an error if the instance is not running.
+// Instance implements simwire.Handler: it returns the balancer of a simulated sidecar, or an error if the sidecar is not running.
 func (h *host) Instance(instance int) (balance.Events, error) {
 	b, ok := h.balancers[instance]
 	if !ok {
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// openBatch is the beginning of a batch, which starts instance 3 with one class and one endpoint. The batch has no end.
+// openBatch is the beginning of a batch, which starts simulated sidecar 3 with one class and one endpoint. The batch has no end.
 const openBatch = "CLOCK\tAtTimeUs=1000\nSWITCH_TO\tSidecar=3\nSTART\tRandomSeed=9\tConfig={\"Lanes\":[{\"Name\":\"c\"," +
 	"\"Semantics\":\"read_like\",\"OnTimeUs\":1000000}]}\nLEDGER\tRef=0\tHosts=1\nENDPOINT\tPhase=ready\tEndpoint=h:1\n" +
 	"REGISTRY\tMode=C\tGen=1\tRef=0\n"
--- a/internal/simwire/endpointlist.go
+++ b/internal/simwire/endpointlist.go
@@ -13,14 +13,14 @@
 // them by number, in the same batch or in later ones.
 type endpointLists struct {
 	byNumber    [maxLists]*endpointList // list that was last defined for each number; nil: no list has the number yet
-	currentList *endpointList           // list that the last LEDGER began
+	currentList *endpointList           // list that the last LEDGER message began
 	entriesDue  int                     // number of ENDPOINT messages that are still due for the current list
 }
 
-// endpointList is a list of endpoints that a LEDGER began and ENDPOINT messages filled.
+// endpointList is a list of endpoints that a LEDGER message began and ENDPOINT messages filled.
 type endpointList struct{ entries []balance.Endpoint }
 
-// beginList decodes a LEDGER, which begins a new list. The new list replaces any earlier list with the same number.
+// beginList decodes a LEDGER message, which begins a new list. The new list replaces any earlier list with the same number.
 func (l *endpointLists) beginList(m *message) error {
 	number, count := m.integer("Ref", required), m.integer("Hosts", required)
 	if m.err != nil {
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// addEntry decodes an ENDPOINT, which is the next entry of the current list.
+// addEntry decodes an ENDPOINT message, which is the next entry of the current list.
 func (l *endpointLists) addEntry(m *message) error {
 	if l.entriesDue == 0 {
 		return errors.New("ENDPOINT exceeds the Hosts of the last LEDGER")
@@ -61,7 +61,7 @@
 	return m.err
 }
 
-// entries returns the endpoints of the list that a REGISTRY refers to.
+// entries returns the endpoints of the list that a REGISTRY message refers to.
 func (l *endpointLists) entries(m *message) []balance.Endpoint {
 	number := m.integer("Ref", required)
 	if m.err != nil {
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -2,11 +2,12 @@
 
 import "tuliprock/balance"
 
-// attrClientRetry is the bit of a CALL's Attrs that is set if the client has sent the request before.
+// attrClientRetry is the bit of the Attrs field of a CALL message (a new request) that is set if the client has sent the request
+// before.
 const attrClientRetry = 2
 
 // eventDecoders maps the name of a message to the function that decodes the Reader's current message and reports it as an
-// event to an instance's balancer. An event with a malformed field is not reported.
+// event to the balancer of an instance (a simulated sidecar). An event with a malformed field is not reported.
 var eventDecoders = map[string]func(*Reader, balance.Events){
 	"REGISTRY":    (*Reader).reportEndpointList,
 	"CALL":        (*Reader).reportRequest,
@@ -83,7 +84,7 @@
 
 func (r *Reader) reportTimer(to balance.Events) {
 	m := &r.message
-	m.integer("Mark", required) // validated but not used, since Host.Timer gives all timers the mark 0
+	m.integer("Mark", required) // validated but not used, since Host.Timer sets the Mark field of all timers to 0
 	if m.err == nil {
 		to.Timer(r.now)
 	}
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -31,14 +31,14 @@
 	name     []byte
 	fields   []field
 	err      error
-	interned map[string]string // strings returned by internedText, cached across lines
+	interned map[string]string // strings that internedText has returned, kept for reuse by later lines
 }
 
 // field is a key=value pair of a message.
 type field struct{ key, value []byte }
 
-// parse splits a line into its name and fields. The Config of a START is its last field and extends to the end of the line,
-// tabs included. An empty line gives a message without a name.
+// parse splits a line into its name and fields. The Config field of a START message is its last one and extends to the end of the
+// line, tabs included. An empty line gives a message without a name.
 func (m *message) parse(line []byte) error {
 	m.fields, m.err = m.fields[:0], nil
 	name, rest, _ := bytes.Cut(line, []byte("\t"))
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -14,17 +14,17 @@
 // Handler receives the decoded messages of a Reader in the order of the input. If a method returns an error, Reader.Run
 // ends with that error.
 type Handler interface {
-	// Start creates the balancer of an instance with these settings.
+	// Start creates the balancer of an instance, which is a simulated sidecar, with the settings s.
 	Start(instance int, s balance.Settings) error
-	// Stop ends the balancer of an instance.
+	// Stop ends the balancer of an instance (a simulated sidecar).
 	Stop(instance int) error
-	// Instance returns the balancer that receives the events of an instance.
+	// Instance returns the balancer that receives the events for an instance (a simulated sidecar).
 	Instance(instance int) (balance.Events, error)
 	// EndBatch is called after the last message of a batch, when the simulator expects the reply.
 	EndBatch() error
 }
 
-// readBufferBytes is the size of the input buffer. Longer lines, such as a START with its settings, are copied to longLine.
+// readBufferBytes is the size of the input buffer. Longer lines, such as a START message with its settings, are copied to longLine.
 const readBufferBytes = 1 << 16
 
 // Reader decodes batches of events and calls a Handler. It is not safe for concurrent use.
@@ -34,10 +34,10 @@
 	lineNumber int     // number of the last line read, from 1
 	message    message // parsed form of the last line read
 
-	isBatchOpen bool          // whether the batch that the last CLOCK began has not ended yet
-	now         time.Duration // time of the last CLOCK
-	instance    int           // instance of the last SWITCH_TO, which gets the events that follow
-	hasInstance bool          // whether the current batch has had a SWITCH_TO
+	isBatchOpen bool          // whether the batch that the last CLOCK message began has not ended yet
+	now         time.Duration // simulated time in the last CLOCK message
+	instance    int           // number of the simulated sidecar in the last SWITCH_TO message, which gets the events that follow
+	hasInstance bool          // whether the current batch has had a SWITCH_TO message
 	lists       endpointLists
 }
 
@@ -46,7 +46,7 @@
 	return &Reader{in: bufio.NewReaderSize(r, readBufferBytes), message: message{interned: map[string]string{}}}
 }
 
-// Now returns the simulated time of the current batch, which its CLOCK gives; 0 before the first batch.
+// Now returns the simulated time of the last batch begun, which its CLOCK message gives; 0 before the first batch.
 func (r *Reader) Now() time.Duration { return r.now }
 
 // Run reads batches and calls h until the input ends. It returns nil if the input ends after a complete batch, and otherwise
@@ -108,7 +108,7 @@
 	return r.handleMessage(h)
 }
 
-// beginBatch handles a CLOCK, which begins a batch.
+// beginBatch handles a CLOCK message, which begins a batch and gives the batch's simulated time.
 func (r *Reader) beginBatch() error {
 	if r.isBatchOpen {
 		return errors.New("CLOCK within a batch")
@@ -159,7 +159,7 @@
 	return m.err
 }
 
-// startInstance handles a START, which creates an instance.
+// startInstance handles a START message: the Handler creates the balancer of a simulated sidecar from the message's settings.
 func (r *Reader) startInstance(h Handler) error {
 	seed := r.message.unsigned("RandomSeed", required)
 	if r.message.err != nil {
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -17,10 +17,10 @@
 	args any    // the method's argument after now; if there are several, a []any of them
 }
 
-// recorder is a Handler that records the events for all instances.
+// recorder is a Handler that records the events for all simulated sidecars.
 type recorder struct {
 	events          []recordedEvent
-	runningSettings map[int]balance.Settings // settings of the running instances, by instance number
+	runningSettings map[int]balance.Settings // settings of the running simulated sidecars, by number
 	batches         int                      // number of complete batches
 }
 
@@ -63,7 +63,7 @@
 	return r, NewReader(strings.NewReader(text)).Run(r)
 }
 
-// openBatch is the beginning of a batch, which starts instance 3. The batch has no end.
+// openBatch is the beginning of a batch, which starts simulated sidecar 3. The batch has no end.
 const openBatch = "CLOCK\tAtTimeUs=1000\nSWITCH_TO\tSidecar=3\nSTART\tRandomSeed=9\tConfig={}\n"
 
 func TestReaderReportsEvents(t *testing.T) {
--- a/internal/simwire/reply_test.go
+++ b/internal/simwire/reply_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A reply names the instance before the first action of each group of one instance's actions. The Reader's parser must accept the
+// A reply names the simulated sidecar before each run of consecutive actions of one sidecar. The Reader's parser must accept the
 // lines: parsed and joined again, they must be unchanged.
 func TestReplyEncodesActionsByInstance(t *testing.T) {
 	var r Reply
