--- a/internal/eventloop/call.go
+++ b/internal/eventloop/call.go
@@ -16,7 +16,8 @@
 const (
 	// Served means that an endpoint's response is the reply.
 	Served Verdict = iota
-	// Shed means that the request was not executed, or that executing it again is harmless.
+	// Shed means that the request is rejected, and that its client may send it again: the request was not executed, or
+	// executing it again is harmless.
 	Shed
 	// Failed means that the request may or may not have been executed.
 	Failed
@@ -83,8 +84,8 @@
 	l.balancer.Request(now, c.Request)
 }
 
-// ClientDisconnected reports that the client of a request has disconnected. It returns false if the request was finished before.
-// It is called from an event.
+// ClientDisconnected notifies the balancer that the client of a request has disconnected. It returns false if the request was
+// finished before. It is called from an event.
 func (l *Loop) ClientDisconnected(now time.Duration, c *Call) bool {
 	if l.calls[c.ID] != c || c.isFinished.Load() {
 		return false
--- a/internal/eventloop/endpoints.go
+++ b/internal/eventloop/endpoints.go
@@ -7,7 +7,7 @@
 	"tuliprock/internal/discovery"
 )
 
-// UpdateEndpoints reports an update of the endpoint list by discovery to the upstream and to the balancer. It is called from an
+// UpdateEndpoints passes an update of the endpoint list from discovery to the upstream and to the balancer. It is called from an
 // event.
 func (l *Loop) UpdateEndpoints(now time.Duration, list discovery.ListUpdate) {
 	update := balance.EndpointUpdate{Complete: list.Full}
@@ -38,22 +38,23 @@
 	l.upstream.RemoveEndpoint(id)
 }
 
-// DiscoveryFailed reports that a watch of the endpoint list has ended, or that its source cannot be reached. It is called from an event.
+// DiscoveryFailed notifies the balancer that a watch of the endpoint list has ended, or that the source of the list cannot be
+// reached. It is called from an event.
 func (l *Loop) DiscoveryFailed(now time.Duration) {
 	l.balancer.EndpointList(now, balance.EndpointUpdate{HasFailed: true})
 }
 
-// SetEjected ejects an endpoint by an operator's override, or restores it. It is called from an event.
+// SetEjected ejects an endpoint manually, or ends its manual ejection. It is called from an event.
 func (l *Loop) SetEjected(now time.Duration, id string, isEjected bool) {
-	l.upstream.SetEjected(id, isEjected) // the upstream is notified first, since the balancer may send an attempt to a restored endpoint at once
+	l.upstream.SetEjected(id, isEjected) // before the balancer, which may send an attempt to the endpoint at once when the ejection ends
 	l.balancer.SetEjected(now, id, isEjected)
 }
 
 // IsKnown reports whether an endpoint is listed or manually ejected. It is called from an event.
 func (l *Loop) IsKnown(id string) bool { return l.balancer.IsKnown(id) }
 
-// SetBalancerCount reports how many daemons send to the same endpoints, and the index of this daemon among them. It is called from
-// an event.
+// SetBalancerCount notifies the balancer of how many daemons send to the same endpoints, and of this daemon's index among these
+// daemons. It is called from an event.
 func (l *Loop) SetBalancerCount(now time.Duration, daemons, index int) {
 	l.balancer.SetBalancerCount(now, daemons, index)
 }
--- a/internal/eventloop/host.go
+++ b/internal/eventloop/host.go
@@ -77,7 +77,7 @@
 // HasIdleConnection implements balance.Host. It asks the upstream, which owns the connections.
 func (h host) HasIdleConnection(endpoint string) bool { return h.upstream.HasIdleConnection(endpoint) }
 
-// Subscribe implements balance.Host. It makes discovery watch the endpoint list.
+// Subscribe implements balance.Host. It asks discovery to watch the endpoint list, or to poll it at once.
 func (h host) Subscribe() { h.requestWatch() }
 
 // Timer implements balance.Host. The loop reports the timer to the balancer at the given instant.
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -37,7 +37,7 @@
 	urgentEvents chan func(now time.Duration) // events posted with Do, which bypass the queue
 	done         chan struct{}                // closed when Run returns
 	upstream     Upstream
-	requestWatch func() // makes discovery watch the endpoint list instead of polling it
+	requestWatch func() // asks discovery to watch the endpoint list, or to poll it at once
 	log          *slog.Logger
 
 	idempotencyWindows map[string]time.Duration  // how long endpoints drop duplicates of an idempotency key, by class name
@@ -56,9 +56,10 @@
 		result balance.Result, reused bool, response upstream.Response)
 	// SetEndpoint adds an endpoint or updates it. acceptsRequests means that new requests may be sent to it.
 	SetEndpoint(id, addr string, acceptsRequests bool)
-	// RemoveEndpoint removes an endpoint and closes its idle connections. An ejected endpoint stays ejected.
+	// RemoveEndpoint removes an endpoint and closes its idle connections. A manually ejected endpoint is still ejected if
+	// it is added again.
 	RemoveEndpoint(id string)
-	// SetEjected ejects an endpoint by an operator's override, or restores it.
+	// SetEjected ejects an endpoint manually, or ends its manual ejection.
 	SetEjected(id string, isEjected bool)
 	// HasIdleConnection reports whether there is an idle connection to an endpoint.
 	HasIdleConnection(id string) bool
@@ -74,8 +75,8 @@
 	return balance.New(now, s, h)
 }
 
-// New returns a Loop, which handles no event until Run is called. requestWatch makes discovery watch the endpoint list and must not
-// block.
+// New returns a Loop, which handles no event until Run is called. requestWatch asks discovery to watch the endpoint list, or to
+// poll it at once, and must not block.
 func New(newBalancer BalancerFactory, s balance.Settings, u Upstream, requestWatch func(), log *slog.Logger) *Loop {
 	l := &Loop{
 		clock:              clock{time.Now()},
--- a/internal/eventloop/order_test.go
+++ b/internal/eventloop/order_test.go
@@ -18,7 +18,7 @@
 
 const (
 	scriptDedupWindow = 300 * time.Millisecond // how long endpoints drop duplicates of the simulated request
-	scriptDeadline    = time.Second            // deadline of the simulated request
+	scriptDeadline    = time.Second            // time from the simulated request's arrival to its deadline
 )
 
 // scriptedAttempt is an attempt that a script controls: it waits until the script lets its dial succeed, and then for its result.
@@ -161,12 +161,13 @@
 	endpointsReturn                 // an endpoint list reports all endpoints as ready
 	shortWait                       // 40 ms pass
 	longWait                        // the length of the deduplication window passes
-	waitUntilNearDeadline           // time passes until the balancer has given up, but the attempt's timeout has not expired
+	waitUntilNearDeadline           // time passes until 2 ms before the deadline: the balancer has given up the request, but the attempt has not timed out
 	loopStops                       // the context of Loop.Run ends
 	stepCount                       // the number of steps
 )
 
-// simulateRequest runs a script of steps for one request of a class and returns the violations.
+// simulateRequest runs a script of steps for one request and returns the violations of the rules for attempts and replies.
+// canCancel is whether the balancer may cancel attempts.
 func simulateRequest(idempotency balance.Idempotency, canCancel bool, script []int) (violations []string) {
 	u := &scriptedUpstream{idempotency: idempotency, accepting: map[string]bool{}}
 	settings := balance.Settings{Seed: 3, CanCancel: canCancel, MaxAttempts: 4, TimerResolution: 5 * time.Millisecond,
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -213,8 +213,8 @@
 	testpeer.Eventually(t, "no request is active", func() bool { return parseMetrics(t, s.adminCommand(t, "vars"))["active"] == 0 })
 }
 
-// The response to a command does not wait behind the queued events of a pool, and comes in time even if the pool's event
-// loop hangs.
+// The response to a command does not wait behind the queued events of a pool, and comes within 1.1 s even if the pool's
+// event loop hangs.
 func TestAdminCommandsAreAnsweredUnderOverload(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	s := startPlatformWith(t, "{}", []func(*config.Service){enableAdmin}, e.Addr)
--- a/internal/sidecar/cluster.go
+++ b/internal/sidecar/cluster.go
@@ -34,8 +34,8 @@
 	raft             *raftnode.Node              // consensus node; nil: the cluster does not agree on settings
 	ownFile          atomic.Pointer[config.File] // this daemon's own configuration file as last read
 	rejectedRequests atomic.Uint64               // number of requests rejected because this daemon had no valid lease
-	// agreedEjections are the IDs of the endpoints that the cluster has agreed to eject and that were ejected here
-	// because of that. Only the goroutine of watchAgreement uses the field after the start.
+	// agreedEjections are the IDs of the endpoints that the cluster had agreed to eject when this daemon last applied
+	// the agreed ejections. After the daemon's start only the goroutine of watchAgreement uses the field.
 	agreedEjections map[string]bool
 
 	mu sync.Mutex
@@ -134,7 +134,8 @@
 }
 
 // prepareReconfigure reads the cluster settings that a reload may change, among them the keys. The returned function
-// commit applies these settings and can't fail. It logs a warning if a setting has changed that needs a restart or a command.
+// commit applies these settings and can't fail. It logs a warning if a changed setting takes effect only after a restart,
+// or must be changed by an operator's command.
 func (n *clusterNode) prepareReconfigure(spec *config.ClusterSpec) (commit func(), _ error) {
 	switch {
 	case n == nil && spec == nil:
@@ -217,7 +218,7 @@
 	}
 }
 
-// removePool ends the updates that addPool has started for a pool.
+// removePool makes setBalancerCount notify a pool no longer.
 func (n *clusterNode) removePool(p *pool) {
 	if n == nil {
 		return
--- a/internal/sidecar/coldstart_test.go
+++ b/internal/sidecar/coldstart_test.go
@@ -22,11 +22,11 @@
 const (
 	coldInitialFraction   = 0.14                   // fraction of its full capacity that a cold endpoint has at its start
 	coldWarmup            = 24 * time.Second       // time until a cold endpoint has its full capacity
-	coldOverloadMultiple  = 3.0                    // multiple of its current capacity at which a cold endpoint is overloaded
-	coldOverloadWindow    = time.Second            // time over which an endpoint's requests are counted
+	coldOverloadMultiple  = 3.0                    // a cold endpoint is overloaded by requests beyond this multiple of its current capacity
+	coldOverloadWindow    = time.Second            // period over which a cold endpoint's requests are counted to detect overload
 	coldResponseTime      = 200 * time.Millisecond // response time of each endpoint, which limits a client to 5 requests/s
 	coldRequestsPerClient = 10                     // number of requests that each client sends in one call of sendRequests, except during drain steps
-	coldLoadFactor        = 1.6                    // ratio of the load to the endpoints' capacity
+	coldLoadFactor        = 1.6                    // ratio of all clients' load to the capacity of the endpoints when all are warm
 )
 
 // coldStartSite has many sidecars in front of one tier on loopback, one discovery agent, and cold endpoints whose requests
@@ -192,9 +192,9 @@
 	clients.Wait()
 }
 
-// checkColdEndpoints fails the test if a cold endpoint got more than N + 2 * sqrt(N) + 2 requests within
-// coldOverloadWindow. N is coldOverloadMultiple times the requests that a cold endpoint can serve within the window. The
-// other two terms are a tolerance for random variation.
+// checkColdEndpoints fails the test if a cold endpoint got more than N + 2 * sqrt(N) + 2 requests within any period of
+// length coldOverloadWindow. N is coldOverloadMultiple times the requests that an endpoint can serve within this period
+// after a tenth of its warm-up. The other two terms are a tolerance for random variation.
 func (s *coldStartSite) checkColdEndpoints(endpoints int) {
 	s.t.Helper()
 	s.mu.Lock()
--- a/internal/sidecar/connections_test.go
+++ b/internal/sidecar/connections_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// A daemon that runs for long sees ever new endpoint IDs at the same addresses, new request IDs and new connections. The
-// state that it keeps about old ones must be released.
+// A daemon that runs for long sees ever new endpoint IDs at the same addresses, new request IDs and new connections. It
+// must release the state of removed endpoints, finished requests and closed connections.
 func TestStateOfDepartedEndpointsIsReleased(t *testing.T) {
 	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	s := startPlatform(t, e.Addr)
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -44,9 +44,9 @@
 	}
 }
 
-// SIGHUP must reload the configuration. It ended the program when only SIGTERM and SIGINT were caught. After a reload with
-// another discovery agent, that agent's endpoints serve new requests, and the request in flight gets its response from the
-// old endpoint. A second reload succeeds, and one during the shutdown fails without an effect on the request in flight.
+// SIGHUP must reload the configuration. A daemon that caught only SIGTERM and SIGINT was killed by SIGHUP. After a reload
+// with another discovery agent, that agent's endpoints serve new requests, and the request in flight gets its response from
+// the old endpoint. A second reload succeeds, and one during the shutdown fails without an effect on the request in flight.
 func TestReloadMigratesDiscoveryWithoutDisturbingRequests(t *testing.T) {
 	oldEndpoint, arrived, release := newBlockingEndpoint(t)
 	s := startPlatform(t, oldEndpoint.Addr)
--- a/internal/sidecar/fault_matrix_client_test.go
+++ b/internal/sidecar/fault_matrix_client_test.go
@@ -16,8 +16,8 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// runClient sends the cell's request, lets the client fail if the cell says so, and returns the outcome for the client as
-// classifyResponse names it.
+// runClient sends the request of a cell of the fault matrix, lets the client fail if the cell's fault is the client's, and
+// returns the client's outcome as the table in docs/operators/long-bodies.md names it.
 func (c *matrixCell) runClient(t *testing.T, addr string) string {
 	t.Helper()
 	defer close(c.clientEnded)
@@ -89,8 +89,8 @@
 	return classifyResponse(bufio.NewReader(nc), []byte("done"), nil)
 }
 
-// injectClientFault lets the client fail while it sends its request, and returns the outcome. A slow client calls sendByte
-// again and again to send one more byte.
+// injectClientFault lets the client fail while it sends its request, and returns the client's outcome. A slow client calls
+// sendByte again and again to send one more byte.
 func (c *matrixCell) injectClientFault(nc net.Conn, sendByte func()) string {
 	want := []byte("done")
 	if c.direction == "down" {
@@ -121,7 +121,8 @@
 	return classifyResponse(bufio.NewReader(nc), want, nil)
 }
 
-// receive reads a long response, lets the client fail while it reads if the cell says so, and returns the outcome.
+// receive reads a long response and returns the client's outcome. If the fault of this cell of the fault matrix is the
+// client's, it lets the client fail while the client reads.
 func (c *matrixCell) receive(nc net.Conn) string {
 	in := bufio.NewReader(nc)
 	if !c.fails("caller") {
@@ -234,8 +235,8 @@
 	return "wrong"
 }
 
-// sendProbeRequest sends a request to a cell's path that asks an endpoint for a text. It returns the response's body, or a
-// text that names the outcome if there is no response with status 200.
+// sendProbeRequest sends a request to the path of a cell of the fault matrix and asks the endpoint for a text. It
+// returns the response's body, or a text that names the outcome if there is no response with status 200.
 func sendProbeRequest(addr string, c *matrixCell, text string) string {
 	r, _ := http.NewRequest(http.MethodGet, "http://"+addr+c.path+"?probe="+text, nil)
 	r.Header.Set("Idempotency-Key", text)
--- a/internal/sidecar/fault_matrix_node_test.go
+++ b/internal/sidecar/fault_matrix_node_test.go
@@ -31,7 +31,7 @@
 }
 
 // serve handles the requests of one connection. A request with the query probe=TEXT gets TEXT as its response; each other
-// request is an attempt of a cell.
+// request is an attempt at the request of a cell of the fault matrix, which its path identifies.
 func (n *matrixEndpoint) serve(nc net.Conn) {
 	defer nc.Close()
 	in := bufio.NewReader(nc)
@@ -50,8 +50,8 @@
 	}
 }
 
-// serveAttempt serves one attempt of a cell, or fails if the cell says so. It returns false if the connection is to be
-// closed.
+// serveAttempt serves one attempt at the request of a cell of the fault matrix. The first attempt fails if the cell's fault
+// is the endpoint's. serveAttempt returns false if its caller must close the connection.
 func (n *matrixEndpoint) serveAttempt(c *matrixCell, nc net.Conn, r *http.Request) bool {
 	c.mu.Lock()
 	c.attempts++
@@ -126,7 +126,8 @@
 	})
 }
 
-// isExpectedRequestBody reads a request's body and reports whether it is the one that the cell's client sends.
+// isExpectedRequestBody reads a request's body and reports whether it is the body that the client of a cell of the fault
+// matrix sends.
 func isExpectedRequestBody(in io.Reader, c *matrixCell) bool {
 	want := []byte("hi")
 	if c.direction == "up" {
@@ -154,8 +155,8 @@
 	return n
 }
 
-// injectFault lets the endpoint fail as the cell says. A slow endpoint calls transferByte again and again to transfer
-// one more byte. The result is always false, so that serveAttempt can return it.
+// injectFault lets the endpoint fail with the fault of a cell of the fault matrix. A slow endpoint calls transferByte again
+// and again to transfer one more byte. It always returns false, which means that the connection must be closed.
 func (n *matrixEndpoint) injectFault(c *matrixCell, nc net.Conn, transferByte func()) bool {
 	defer c.markNodeFailed()
 	switch c.fault {
--- a/internal/sidecar/fault_matrix_test.go
+++ b/internal/sidecar/fault_matrix_test.go
@@ -39,7 +39,7 @@
 	path          string        // path of the cell's requests, and name of its pool
 	size          int           // size of the long body in bytes
 	nodeFailed    chan struct{} // closed when the endpoint has failed
-	exchangeEnded chan struct{} // closed when the first exchange at an endpoint is over
+	exchangeEnded chan struct{} // closed when the first attempt has ended at the endpoint
 	clientEnded   chan struct{} // closed when the client has its outcome
 	retried       chan struct{} // closed when a second attempt has begun
 
@@ -70,7 +70,7 @@
 	stopsReading := fault == "silence" || fault == "slow"
 	nodeStopsEarly := direction == "up" && c.fails("node") && (moment == "middle" || c.faultOffset() < 2 && stopsReading)
 	clientStopsReading := direction == "down" && c.fails("caller") && stopsReading
-	if nodeStopsEarly || clientStopsReading { // the body must be larger than all kernel buffers on its way
+	if nodeStopsEarly || clientStopsReading { // the kernel buffers on the way must not hold the complete body
 		c.size = 48 << 20
 	}
 	return c
@@ -302,7 +302,7 @@
 	testpeer.Eventually(t, "descriptors are closed", func() bool { return measureResources().descriptors <= descriptorsBefore+4*len(cells) })
 }
 
-// String returns the cell's coordinates, for failure messages.
+// String returns the cell's direction, failing side, moment, fault and class, for failure messages.
 func (c *matrixCell) String() string {
 	return strings.Join([]string{c.direction, c.failingSide, c.moment, c.fault, c.class}, ", ")
 }
--- a/internal/sidecar/file_harness_test.go
+++ b/internal/sidecar/file_harness_test.go
@@ -42,7 +42,7 @@
 	serveResult chan error         // receives the error of Serve, and is then closed
 }
 
-// startFromFile starts a daemon that serves until the test ends.
+// startFromFile starts a daemon with the configuration of an operators' file. It serves until the test ends.
 func startFromFile(tb testing.TB, c config.Service) *fileSidecar {
 	tb.Helper()
 	s, err := Start(c, slog.New(slog.DiscardHandler))
--- a/internal/sidecar/hotrestart.go
+++ b/internal/sidecar/hotrestart.go
@@ -18,7 +18,7 @@
 	sidecar      *Sidecar
 	directory    *hotrestart.Directory
 	log          *slog.Logger
-	config       config.Service // configuration at the start, whose descriptor limit all processes share
+	config       config.Service // configuration when this process started; all processes share its descriptor limit
 	memoryLimit  int64          // memory limit of the Go runtime, in bytes, while no other process runs; math.MaxInt64: none
 	stopPolling  chan struct{}  // closed by the method close, to stop run
 	pollingEnded chan struct{}  // closed when the method run has returned
@@ -66,8 +66,8 @@
 	return r
 }
 
-// start polls the shared directory once, so that the only process of a sidecar takes clients at once. It then polls in
-// the background until the method close is called.
+// start polls the shared directory once, so that this process takes clients at once if no other process of the sidecar
+// runs. It then polls in the background until the method close is called.
 func (r *hotRestart) start() {
 	r.poll()
 	r.isPolling = true
@@ -132,9 +132,9 @@
 	r.sidecar.setConnectionLimit(r.config.ConnectionsWithin(limit))
 }
 
-// beginShutdown reports whether another process takes clients now. From then on poll no longer changes this process's
-// lifecycle phase. If this process was the one that took clients, it withdraws its readiness, so that older processes that
-// still run may take clients again.
+// beginShutdown returns otherProcess if another process takes clients now, and noSuccessor if not. After this call poll no
+// longer changes this process's lifecycle phase. If this process was the one that took clients, it withdraws its readiness,
+// so that older processes that still run may take clients again.
 func (r *hotRestart) beginShutdown() successor {
 	if r == nil {
 		return noSuccessor
--- a/internal/sidecar/overrides.go
+++ b/internal/sidecar/overrides.go
@@ -59,7 +59,7 @@
 	o.directory = directory
 }
 
-// acquire waits for the command slot, which release frees again.
+// acquire waits until no other goroutine changes the ejections, and keeps others from doing so until release is called.
 func (o *overrides) acquire(ctx context.Context) error {
 	select {
 	case o.commandSlot <- struct{}{}:
@@ -69,7 +69,7 @@
 	}
 }
 
-// release frees the command slot.
+// release lets other goroutines change the ejections again after a call of acquire.
 func (o *overrides) release() { <-o.commandSlot }
 
 // addPool applies the ejections to a new pool before it serves its first request.
@@ -82,8 +82,8 @@
 		for _, id := range ejected {
 			p.loop.SetEjected(now, id, true)
 		}
-		// Endpoints that were restored shortly before this process started must still warm up: ejecting and restoring them
-		// here makes the balancer of this process warm them up, too.
+		// Endpoints whose ejection ended shortly before this process started must still warm up: ejecting them and ending
+		// the ejection here makes the balancer of this process warm them up, too.
 		for _, id := range o.recentlyRestored {
 			p.loop.SetEjected(now, id, true)
 			p.loop.SetEjected(now, id, false)
@@ -91,21 +91,22 @@
 	})
 }
 
-// removePool ends the updates that addPool has started for a pool.
+// removePool excludes a pool from later changes of the ejections.
 func (o *overrides) removePool(p *pool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.pools, p)
 }
 
-// ejectionState is a snapshot of the overrides with regard to one endpoint.
+// ejectionState is what snapshot returns: whether one endpoint is manually ejected, how many are, and the running pools.
 type ejectionState struct {
-	pools        []*pool // pools that were running at the time of the snapshot
+	pools        []*pool // pools that were running when the method snapshot was called
 	isEjected    bool    // whether the endpoint is manually ejected
 	ejectedCount int     // number of all manually ejected endpoints
 }
 
-// snapshot returns a snapshot of the overrides with regard to the endpoint with the given ID.
+// snapshot returns whether the endpoint with the given ID is manually ejected now, how many endpoints are, and the pools
+// that are running.
 func (o *overrides) snapshot(id string) ejectionState {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -198,8 +199,8 @@
 }
 
 // applyAgreed applies a change of the ejections that the cluster has agreed on: it ejects the endpoints that are only in
-// current, and restores those that are only in previous. It waits while another change of the ejections is in progress. It
-// returns the set that is applied now, which is previous if ctx ended during that wait.
+// current, up to hotrestart.MaxEjections, and ends the ejection of those that are only in previous. It waits while another
+// change of the ejections is in progress. It returns current, or previous if ctx ended during that wait.
 func (o *overrides) applyAgreed(ctx context.Context, previous, current map[string]bool) map[string]bool {
 	if o.acquire(ctx) != nil {
 		return previous
@@ -220,8 +221,8 @@
 
 // syncDirectory applies the ejections that other processes have recorded in the shared directory, and reports to them that
 // this process has descriptorCount open descriptors (see hotrestart.Directory.Poll). It returns the view of those processes
-// and how many descriptors they have reported as open. While a command holds the command slot it only polls the directory,
-// so that polls and commands don't wait for each other.
+// and how many descriptors they have reported as open. While another goroutine changes the ejections it only polls the
+// directory, so that polls and operators' commands don't wait for each other.
 func (o *overrides) syncDirectory(descriptorCount int) (hotrestart.View, int) {
 	select {
 	case o.commandSlot <- struct{}{}:
@@ -236,7 +237,7 @@
 // applyDirectory applies the ejections that other processes have recorded in the shared directory, and reports to them
 // that this process has descriptorCount open descriptors (see hotrestart.Directory.Poll). It also records the ejections of
 // this process that the directory lacks. It returns the view of the other processes and how many descriptors they have
-// reported as open. The command slot is held.
+// reported as open. The caller has called acquire.
 func (o *overrides) applyDirectory(descriptorCount int) (hotrestart.View, int) {
 	state, view, othersDescriptors := o.directory.Poll(descriptorCount)
 	ctx, cancel := context.WithTimeout(context.Background(), catchUpTimeout)
--- a/internal/sidecar/platform_test.go
+++ b/internal/sidecar/platform_test.go
@@ -192,8 +192,8 @@
 	}
 }
 
-// The time limit of short responses must not apply while the beginning of a long response is buffered. While it did apply,
-// one rehearsed day had 28 long responses cut off that endpoints sent in pieces.
+// The time limit of short responses must not apply while the beginning of a long response is buffered. When the daemon
+// applied it there, it cut off 28 long responses that endpoints sent in pieces during one rehearsed day.
 func TestLongResponseMayArriveSlowly(t *testing.T) {
 	longText := strings.Repeat("z", 100<<10)
 	for name, head := range map[string]string{
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -29,7 +29,7 @@
 	log      *slog.Logger
 
 	hasEndpointList           atomic.Bool  // whether discovery has delivered an endpoint list
-	listedCount, avoidedCount atomic.Int64 // numbers of listed and of avoided endpoints when they were last counted
+	listedCount, avoidedCount atomic.Int64 // numbers of listed endpoints, and of endpoints that the balancer avoids as ejected, at the last count
 
 	mu         sync.Mutex       // guards source, which subscribe reads on the goroutine of the event loop
 	source     discovery.Source // running discovery source; nil while the pool is starting
@@ -39,7 +39,8 @@
 	references int              // number of configurations that may still send requests to this pool; guarded by Sidecar.mu
 }
 
-// newPool starts a pool. The balancer gets the endpoint list of the configuration before any other event.
+// newPool starts a pool. Before any other event the balancer gets the last endpoint list that the discovery agent sent
+// before this process started, which the configuration holds; the list is empty if there was none.
 func newPool(
 	newBalancer eventloop.BalancerFactory, spec config.PoolSpec, bodyMemory *body.MemoryPool, registry *metrics.Registry,
 	log *slog.Logger,
@@ -85,8 +86,8 @@
 	return binary.LittleEndian.Uint64(b[:]) | 1
 }
 
-// subscribe requests watch events from the discovery source. The balancer subscribes for the first time before there is a
-// source; startSource then subscribes again.
+// subscribe asks the discovery source to watch the endpoint list, or to poll it at once. The balancer's first request for
+// this comes before there is a source and has no effect; startSource repeats it.
 func (p *pool) subscribe() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -117,7 +118,7 @@
 	}
 	p.members.SetOptions(endpointset.Options{HoldLastGood: spec.HoldLastGood, FlapDamping: spec.FlapDamping})
 	source := p.newSource(spec)
-	if p.spec.Settings.MustSubscribe { // the balancer subscribed at its start, when there was no source yet
+	if p.spec.Settings.MustSubscribe { // the balancer requested a watch at its start, before there was a source
 		source.Subscribe()
 	}
 	// A list in a file or in the configuration can be read at once.
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -43,7 +43,7 @@
 	}
 	if s.cluster.hasConsensus() {
 		s.cluster.ownFile.Store(c.File)
-		s.cluster.raft.Recheck() // agreed settings that did not fit the previous file may fit this one
+		s.cluster.raft.Recheck() // agreed settings that the old operators' file made invalid may be valid with the new one
 	}
 	return nil
 }
--- a/internal/sidecar/reload_storm_test.go
+++ b/internal/sidecar/reload_storm_test.go
@@ -17,8 +17,8 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// stormNode is an endpoint that records the requests that arrive too late after a reload has made it draining or removed
-// it.
+// stormNode is an endpoint that records the requests that still arrive more than lateAfter after a reload has made it
+// draining or removed it.
 type stormNode struct {
 	server     *httptest.Server
 	addr       string
@@ -147,9 +147,9 @@
 	}
 }
 
-// prepareStormFile returns the operators' file of a round, and records at each endpoint whether the file configures it as
-// ready. From round to round members are added, draining and removed, the listener moves between two addresses, a second
-// pool is added and removed, and settings change.
+// prepareStormFile returns the operators' file for the reload with the number round, and records at each endpoint whether
+// the file configures it as ready. From reload to reload members are added, draining and removed, the listener
+// moves between two addresses, a second pool is added and removed, and settings change.
 func prepareStormFile(round int, addrs [2]string, nodes []*stormNode) string {
 	var b strings.Builder
 	idleTimeout := []string{"5s", "6s"}[round/10%2]
@@ -193,7 +193,7 @@
 const (
 	stormReloads       = 200
 	stormClients       = 8
-	stormInterval      = 25 * time.Millisecond // time between reloads; a member keeps its state for 45 reloads, over a second
+	stormInterval      = 25 * time.Millisecond // time between reloads; a member stays draining, or removed, for 45 reloads, over a second
 	stormMaxHeapGrowth = 4 << 20               // bytes by which the heap may grow from before the storm to after it
 )
 
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -9,8 +9,8 @@
 
 // Time limits of the shutdown. The margins count back from the end of the grace period, when the process may be killed.
 const (
-	// acceptAfterSignal is how long new connections are accepted after the signal when there is no successor: the
-	// component that routes clients to this daemon learns of the shutdown only at the signal.
+	// acceptAfterSignal is how long a draining listener without a successor accepts new connections at least: the component
+	// that routes clients to this daemon learns of the shutdown only at SIGTERM, when the listener begins to drain.
 	acceptAfterSignal = 600 * time.Millisecond
 	// closeConnectionsMargin is the time before the end of the grace period at which responses begin to close their
 	// connections. Until then clients may go on using the connections that they have.
--- a/internal/sidecar/smuggling_test.go
+++ b/internal/sidecar/smuggling_test.go
@@ -14,7 +14,7 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// A request whose end two parsers could place differently must not smuggle a second request to the endpoint.
+// If two parsers could disagree on where a request ends, the request must not smuggle a second one to the endpoint.
 //
 // Each test case has a host of its own, by which the requests that reach the endpoint are counted. The counts are
 // checked after the daemon has ended, so that a request that arrives late counts for its own case.
--- a/internal/sidecar/socket.go
+++ b/internal/sidecar/socket.go
@@ -117,9 +117,10 @@
 	}
 }
 
-// awaitResume waits until no other handle is closing and the socket is not paused, or until this handle is closed. The
-// deadline must not be cleared earlier: an Accept call checks the deadline only after it has woken up, so the Accept call
-// of the closing handle might go on waiting.
+// awaitResume waits until no other handle is closing and the socket is not paused, or until this handle is closed. It
+// then clears the listener's expired deadline, unless a closing handle or a pause still needs the deadline. The deadline
+// must not be cleared earlier: an Accept call checks the deadline only after it has woken up, so the Accept call of the
+// closing handle might go on waiting.
 func (h *socketHandle) awaitResume() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -149,8 +150,8 @@
 	return nil
 }
 
-// release removes this handle from the count of open handles, and reports whether it was the last one. If it was not, the
-// deadline interrupts the handle's Accept call.
+// release removes this handle from the count of open handles, and reports whether it was the last one. If it was not, it
+// gives the listener a deadline in the past, which interrupts the handle's Accept call.
 func (h *socketHandle) release() (isLast bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
