--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -3,7 +3,8 @@
 //
 // A Server owns its listener and its connections. Serve runs on the goroutine of its caller, and each connection on a goroutine
 // of its own; all connections have ended when Close returns. A command is executed only if its complete line, and its complete
-// body if it has one, were received. The response follows within about two seconds, or the connection is closed.
+// body if it has one, were received. The response follows within about two seconds of their receipt, or the
+// connection is closed.
 package admin
 
 import (
@@ -46,7 +47,7 @@
 
 	mu                 sync.Mutex
 	openCount          int
-	connectionsChanged sync.Cond // signaled when a connection has ended or become idle
+	connectionsChanged sync.Cond // wakes admit and Close when a connection has ended, or may be closed in favor of a new one
 	idle               list.List // connections (net.Conn) that may be closed in favor of new ones; the first element is closed first
 	isClosed           bool
 }
@@ -54,7 +55,7 @@
 // connection is a client's connection, for one command.
 type connection struct {
 	net.Conn
-	idleEntry *list.Element // entry in Server.idle, from which it may have been removed
+	idleEntry *list.Element // the connection's entry in Server.idle; not in the list while the command is executed, or after an eviction
 }
 
 // New returns a Server for a listener, which Close closes. At most maxConnections connections, but at least one, can be open at
@@ -68,7 +69,7 @@
 // Addr returns the address on which the Server accepts connections.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Serve accepts connections and returns after Close.
+// Serve accepts connections and handles each on a goroutine of its own. It returns after Close was called.
 func (s *Server) Serve() {
 	var lastLoggedAt time.Time
 	for {
@@ -170,8 +171,8 @@
 // errIncompleteLine means that the client has closed the connection or was too slow. Such a connection gets no response.
 var errIncompleteLine = errors.New("the line is not complete")
 
-// readCommand reads the first line that is not empty, and the command's body if it has one, before the connection's read
-// deadline. An incomplete line is never parsed, since a truncated ID could be that of another endpoint.
+// readCommand reads the first line that is not empty and, if the command has one, the body that follows. The connection's read
+// deadline limits both. An incomplete line is never parsed, since a truncated ID could be that of another endpoint.
 func (s *Server) readCommand(in *bufio.Reader) (Command, []byte, error) {
 	line, err := in.ReadSlice('\n')
 	for err == nil && len(bytes.TrimSpace(line)) == 0 {
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// testHandlers returns handlers that send ejections to a channel. The endpoint "nobody" is unknown to them, and an ejection of
-// the endpoint "slow" is never confirmed.
+// testHandlers returns handlers that send the arguments of each manual ejection, or end of one, to a channel. The endpoint "nobody"
+// is unknown to them, and an ejection of the endpoint "slow" is never confirmed.
 func testHandlers(isReady bool, ejections chan<- string) Handlers {
 	return Handlers{
 		IsReady: func() bool { return isReady },
--- a/internal/frontend/arrival.go
+++ b/internal/frontend/arrival.go
@@ -26,8 +26,9 @@
 	mayHaveWaitedUntil atomic.Int64 // end of the period in which requests may have waited, in nanoseconds since startedAt
 }
 
-// observeRequest records that a request is read now, and reports whether the request may have waited in its socket. Under little load
-// the pauses between requests are as long as a stall, so that the result is true for every request. This costs a system call for each.
+// observeRequest records that a request is read now, and reports whether the request may have waited in its socket. Under little
+// load the pauses between requests reach stallThreshold, so that the result is true for every request. Each request with that
+// result costs a system call, which asks the kernel about its arrival.
 func (d *stallDetector) observeRequest(now time.Time) (mayHaveWaited bool) {
 	sinceStart := now.Sub(d.startedAt).Nanoseconds()
 	if sinceStart-d.lastRequestAt.Swap(sinceStart) >= int64(stallThreshold) {
@@ -46,9 +47,9 @@
 	return time.Duration(tcpInfo.Last_data_recv) * time.Millisecond, tcpInfo.State == stateCloseWait
 }
 
-// arrivalTime returns the time at which a request that is read now arrived, and whether its client has disconnected since. If the
-// latest bytes on the connection were received less than stallThreshold ago, it returns now: they may be the end of a body whose
-// beginning arrived long before, and so are no evidence of a stall.
+// arrivalTime returns the time at which a request that is read now arrived, and whether its client has disconnected since. The
+// kernel knows only when the latest bytes on the connection were received. If that was less than stallThreshold ago, arrivalTime
+// returns now: such bytes may be the end of a body whose beginning arrived long before, and are no evidence of a stall.
 func (s *Server) arrivalTime(r *http.Request, now time.Time) (arrived time.Time, isDisconnected bool) {
 	if !s.stallDetector.observeRequest(now) {
 		return now, false
--- a/internal/frontend/arrival_test.go
+++ b/internal/frontend/arrival_test.go
@@ -9,8 +9,9 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// After a stall of the process the deadline of a request counts from its arrival, and its client may have disconnected. Otherwise
-// a sidecar that resumes after a stop of 20 s forwards requests from its sockets whose clients disconnected 16 s earlier, during the stop.
+// After a stall of the process the deadline of a request counts from its arrival, and its client may have disconnected. Otherwise a
+// sidecar that resumes after a stop of 20 s forwards requests from its sockets although their clients disconnected 16 s before it
+// resumed.
 func TestDeadlineOfRequestThatWaitedInItsSocketCountsFromItsArrival(t *testing.T) {
 	idle := acceptIdleConn(t)
 	if _, err := io.ReadAtLeast(idle.client, make([]byte, 16), 1); err != nil { // read the response that acceptIdleConn wrote
@@ -41,7 +42,8 @@
 func TestRequestsAfterAStallMayHaveWaited(t *testing.T) {
 	d := &stallDetector{startedAt: time.Unix(0, 0)}
 	observeAt := func(sinceStart time.Duration) bool { return d.observeRequest(d.startedAt.Add(sinceStart)) }
-	// Only the pause before the first request is as long as a stall.
+	// The first request follows a pause of 1 s, as long as a stall. The pauses between the other requests of the loop are shorter
+	// than a stall.
 	for sinceStart, want := time.Second, true; sinceStart < time.Minute; sinceStart += stallThreshold / 2 {
 		if got := observeAt(sinceStart); got != want {
 			t.Fatalf("observeRequest returned %v for the request after %v, want %v", got, sinceStart, want)
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -27,7 +27,7 @@
 type clientConn struct {
 	net.Conn
 	listener    *Listener
-	writeMeter  atomic.Pointer[body.Meter] // enforces a minimum rate of writes; nil: no minimum
+	writeMeter  atomic.Pointer[body.Meter] // enforces the minimum rate at which the client must receive; nil: no minimum
 	headScanner headScanner                // scans the heads of the requests that are read
 
 	// listener.mu guards the fields below.
@@ -60,7 +60,7 @@
 // recordReceived updates the state of the connection after bytes were read from it. listener.mu is held.
 func (c *clientConn) recordReceived(b []byte) {
 	c.headScanner.scan(b, c.awaitsFirstByte)
-	if c.isEvicted && c.awaitsFirstByte { // a request was received before the eviction took effect
+	if c.isEvicted && c.awaitsFirstByte { // a request was received before the eviction took effect, so the connection stays open
 		c.cancelEviction(time.Now().Add(c.listener.headTimeout)) // a new read deadline is needed, since the eviction has overwritten that of net/http
 		c.moveTo(&c.listener.partial)
 	}
@@ -77,12 +77,12 @@
 	return c.awaitsFirstByte && (c.isEvicted || c.queue != nil)
 }
 
-// readAgain reads once more after a read has timed out. Go's runtime reports a timeout even if bytes have been received, and a
-// request that was received must not be lost.
+// readAgain repeats a read that has timed out, up to maxFinalReads times. Go's runtime reports a timeout even if bytes have been
+// received, and a request that was received must not be lost.
 func (c *clientConn) readAgain(b []byte) (n int, err error) {
 	for range maxFinalReads {
 		startedAt := time.Now()
-		_ = c.Conn.SetReadDeadline(startedAt.Add(finalReadTimeout)) // if SetReadDeadline fails, the read fails, too
+		_ = c.Conn.SetReadDeadline(startedAt.Add(finalReadTimeout)) // an error is ignored, since the read then fails, too
 		n, err = c.Conn.Read(b)
 		if n > 0 {
 			return n, c.Conn.SetReadDeadline(time.Now().Add(c.listener.headTimeout))
@@ -117,10 +117,11 @@
 	return c.Conn.Write(b)
 }
 
-// isWriteStopped reports whether a write to a client was stopped. This never happens.
+// isWriteStopped is the argument isStopped of body.Write. It always returns false, since nothing stops a write to a client before
+// it ends or fails.
 func isWriteStopped() bool { return false }
 
-// splicer is a source whose bytes the kernel can move to a connection without copying them to this process.
+// splicer is a source whose bytes the kernel can move to a connection without copying them to the memory of this process.
 type splicer interface {
 	Splice(*net.TCPConn, *body.Meter) (int64, error)
 }
@@ -131,8 +132,9 @@
 	splicer
 }
 
-// ReadFrom implements io.ReaderFrom. It splices a splicedReader if the connection has a writeMeter. Without a writeMeter it
-// copies nothing from a splicedReader and returns no error. The bytes of any other reader are copied.
+// ReadFrom implements io.ReaderFrom. It splices a splicedReader if the connection has a writeMeter and was accepted by a
+// LimitListener. Otherwise it copies nothing from a splicedReader and returns no error, and the caller must write the bytes with
+// Write. The bytes of any other reader are copied.
 func (c *clientConn) ReadFrom(r io.Reader) (int64, error) {
 	source, isSpliced := r.(splicedReader)
 	to, isLimitedConn := c.Conn.(*limitedConn)
@@ -153,7 +155,7 @@
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// connOf returns a request's connection, or nil if it was not accepted by a Listener.
+// connOf returns the connection of a request, or nil if that connection was not accepted by a Listener.
 func connOf(r *http.Request) *clientConn {
 	c, _ := r.Context().Value(connKey{}).(*clientConn)
 	return c
--- a/internal/frontend/connlimit.go
+++ b/internal/frontend/connlimit.go
@@ -12,7 +12,7 @@
 	net.Listener
 
 	mu             sync.Mutex // guards the fields below
-	stateChanged   sync.Cond  // signaled when openCount, maxConnections or isClosed has changed
+	stateChanged   sync.Cond  // wakes acquire after a change of openCount, maxConnections or isClosed
 	openCount      int        // number of connections that are open or about to be accepted
 	maxConnections int
 	isClosed       bool // whether Close was called
@@ -68,7 +68,8 @@
 	return !l.isClosed
 }
 
-// release stops counting a connection that was closed or could not be accepted, so that another one can be accepted.
+// release subtracts one from openCount after a connection was closed or Accept has failed, so that another connection can be
+// accepted.
 func (l *LimitListener) release() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -76,7 +77,7 @@
 	l.stateChanged.Broadcast()
 }
 
-// limitedConn is a connection of a LimitListener, which counts it until its first Close.
+// limitedConn is a connection of a LimitListener. The LimitListener counts it as open until its first Close.
 type limitedConn struct {
 	*net.TCPConn
 	releaseOnce sync.Once
--- a/internal/frontend/disconnect.go
+++ b/internal/frontend/disconnect.go
@@ -11,8 +11,8 @@
 
 // isClientConnected reports whether a request's client is still connected. net/http detects a disconnect by reading from the
 // connection, but it does not read until the handler has read the whole body, nor after it has received a byte that follows the
-// request. The kernel is therefore asked, too. isClientConnected may be called from any goroutine, and returns false after the
-// request has ended.
+// request. The kernel is therefore asked for the state of the connection, too. isClientConnected may be called from any goroutine,
+// and returns false after the request has ended.
 //
 // The request's context must be checked after the kernel was asked: a handler that notices a disconnect between the two checks first
 // ends the request, which cancels the context, and then closes the connection.
--- a/internal/frontend/disconnect_stress_test.go
+++ b/internal/frontend/disconnect_stress_test.go
@@ -69,7 +69,7 @@
 		addrs = append(addrs, testpeer.ServeTCP(t, recorder.serve).Addr().String())
 	}
 	options := proxyOptions{canCancel: true, bodyMemory: body.NewMemoryPool(256 << 10), beforeDial: func() {
-		<-time.After(randomUpTo(4 * time.Millisecond)) // simulates a slow link; it does not wait for an event
+		<-time.After(randomUpTo(4 * time.Millisecond)) // the delay simulates a slow link; the test does not wait for an event here
 	}}
 	p := startProxy(t, options, addrs...)
 	descriptorsBefore := testpeer.CountOpenDescriptors()
--- a/internal/frontend/dispatch.go
+++ b/internal/frontend/dispatch.go
@@ -11,7 +11,7 @@
 // dispatch submits a request to its pool's event loop and writes the response, unless the client has disconnected. The metrics count
 // the request as active from the call of dispatch to its return.
 func (s *Server) dispatch(w *responseWriter, r *http.Request, request *routedRequest) {
-	outcome := metrics.Failed // outcome of a request without a reply; overwritten if a reply is written
+	outcome := metrics.Failed // outcome of a request without a reply from the event loop; overwritten if a reply is written
 	request.target.Class.Metrics.Begin()
 	defer func() { request.target.Class.Metrics.End(outcome) }()
 	pool, call := request.target.Loop, request.call
@@ -45,8 +45,8 @@
 	return withdraw(request)
 }
 
-// withdraw reports to the event loop that nobody waits for a request any more. It returns the reply if the loop has sent one
-// meanwhile.
+// withdraw tells the event loop that nobody waits for the reply to a request any more. It returns the reply if the loop has sent
+// one before it was told.
 func withdraw(request *routedRequest) (reply eventloop.Reply, hasReply bool) {
 	pool := request.target.Loop
 	withdrawn := make(chan bool, 1)
--- a/internal/frontend/dispatch_test.go
+++ b/internal/frontend/dispatch_test.go
@@ -11,8 +11,8 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// If the settings forbid cancelling attempts, a request that was forwarded before its client disconnected must run to its end, and its
-// connection to the endpoint must stay open.
+// If the settings forbid cancelling attempts, an attempt in flight must go on until its response when its client disconnects, and
+// its connection to the endpoint must stay open.
 func TestForwardedRequestIsNotCancelledByDisconnect(t *testing.T) {
 	received, respond := make(chan bool), make(chan bool)
 	e := testpeer.NewEndpoint(t, func(conn net.Conn, _ *http.Request, n int) bool {
@@ -65,7 +65,7 @@
 // A request with an idempotency key that may have been executed must not be forwarded again after its deduplication window, in which
 // endpoints drop duplicates, even if the retry began to dial within the window.
 func TestRetryIsNotForwardedAfterItsIdempotencyWindow(t *testing.T) {
-	e := testpeer.NewEndpoint(t, func(net.Conn, *http.Request, int) bool { return false }) // closes the connection without a response
+	e := testpeer.NewEndpoint(t, func(net.Conn, *http.Request, int) bool { return false }) // false makes the endpoint close the connection without a response
 	var dialCount atomic.Int32
 	mayDialAgain := make(chan struct{})
 	p := startProxy(t, proxyOptions{canCancel: true, beforeDial: func() {
@@ -80,8 +80,8 @@
 	p.awaitDial(t)
 	testpeer.Eventually(t, "the deduplication window has ended", func() bool { return time.Since(sentAt) > idempotencyWindow+100*time.Millisecond })
 	close(mayDialAgain)
-	// The balancer sheds the request although its first attempt may have run. It takes a retry by the client to be harmless, since all
-	// endpoints drop duplicates by the request's key, and does not check whether the deduplication window has ended.
+	// Status 503 invites the client to retry although the first attempt may have run. The balancer counts on all endpoints to drop
+	// that retry as a duplicate by its key, and does not check whether the deduplication window has ended.
 	if got := readStatus(client); got != http.StatusServiceUnavailable {
 		t.Errorf("status %d, want 503", got)
 	}
--- a/internal/frontend/eviction.go
+++ b/internal/frontend/eviction.go
@@ -9,11 +9,11 @@
 	// minSilentAge is how long a new connection may send nothing before it is the first candidate for eviction. Clients normally
 	// send at once.
 	minSilentAge = 100 * time.Millisecond
-	// minPartialAge is how long the rest of a request's head may take before its connection can be evicted.
+	// minPartialAge is how long a request's head may stay incomplete, from its first byte, before its connection can be evicted.
 	minPartialAge = 300 * time.Millisecond
 )
 
-// evictIfOverLimit evicts one connection if there are more than maxConnections. It prefers a new connection that has sent nothing
+// evictIfOverLimit evicts one connection if more than maxConnections are open. It prefers a new connection that has sent nothing
 // for minSilentAge, then the connection that has been idle for longest, then any new connection without a byte received, then a
 // connection on which a request's head has been incomplete for minPartialAge. If all connections have an open request, none is
 // evicted; a LimitListener keeps further connections from being accepted. l.mu is held.
@@ -35,8 +35,8 @@
 	l.scheduleRecheck()
 }
 
-// scheduleRecheck schedules another call of evictIfOverLimit. Nothing else would call it while Accept blocks at the limit of the
-// LimitListener. l.mu is held.
+// scheduleRecheck schedules a call of evictIfOverLimit after minPartialAge. While Accept blocks at the limit of the LimitListener,
+// no new connection causes such a call, and connections with an incomplete head could stay. l.mu is held.
 func (l *Listener) scheduleRecheck() {
 	if l.isRecheckScheduled {
 		return
--- a/internal/frontend/eviction_test.go
+++ b/internal/frontend/eviction_test.go
@@ -76,7 +76,7 @@
 	if err := <-readErr; err != nil {
 		t.Errorf("the pending read returned %v, want io.EOF and no bytes", err)
 	}
-	// net/http sets a read deadline after its ConnState hook has run, which must not undo an eviction.
+	// net/http sets a read deadline after its ConnState hook has run. This must not undo an eviction.
 	if err := idle.conn.SetReadDeadline(time.Now().Add(testpeer.Timeout)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/frontend/framing.go
+++ b/internal/frontend/framing.go
@@ -11,14 +11,14 @@
 // as a new request.
 func (s *Server) checkFraming(r *http.Request) *rejection {
 	switch {
-	case !r.ProtoAtLeast(1, 1) && r.URL.Path != healthPath: // net/http ignores Transfer-Encoding in HTTP/1.0
+	case !r.ProtoAtLeast(1, 1) && r.URL.Path != healthPath: // net/http ignores Transfer-Encoding in HTTP/1.0, so it could not find a chunked body's end
 		return newRejection(http.StatusBadRequest, "HTTP/1.1 is wanted")
 	case hasFoldedLine(r):
 		return newRejection(http.StatusBadRequest, "a header line is folded")
 	case len(r.TransferEncoding) > 0 && s.options.BodyMemory == nil:
 		return newRejection(http.StatusLengthRequired, "Transfer-Encoding: a Content-Length is wanted")
 	case len(r.TransferEncoding) > 0 && s.options.ForwardsUnchanged && !isChunkedOnly(r):
-		// With the option ForwardsUnchanged no proxy in front of the daemon has checked the framing.
+		// The option ForwardsUnchanged is set where no proxy in front of the daemon has checked the framing, so the daemon must.
 		return newRejection(http.StatusBadRequest, "the body may be framed in two ways")
 	case r.ContentLength > s.options.MaxBodyBytes:
 		return newRejection(http.StatusRequestEntityTooLarge, "the body is too long")
@@ -90,7 +90,7 @@
 	case '\r':
 	case '\n':
 		h.isComplete = h.lineLength == 0 && !h.inRequestLine
-		h.inRequestLine = h.inRequestLine && h.lineLength == 0 // empty lines before the request line are skipped
+		h.inRequestLine = h.inRequestLine && h.lineLength == 0 // still true after an empty line, since empty lines before the request line are skipped
 		h.nameLength, h.lineLength = 0, 0
 	default:
 		h.hasFoldedLine = h.hasFoldedLine || h.lineLength == 0 && !h.inRequestLine && (c == ' ' || c == '\t')
@@ -112,7 +112,7 @@
 			h.hasTransferEncoding = true
 		}
 		h.nameLength = -1
-	case h.nameLength == len(h.name): // the name is longer than Content-Length and Transfer-Encoding
+	case h.nameLength == len(h.name): // the name is longer than Content-Length and Transfer-Encoding, so it is neither
 		h.nameLength = -1
 	default:
 		if c >= 'A' && c <= 'Z' {
--- a/internal/frontend/headers.go
+++ b/internal/frontend/headers.go
@@ -27,7 +27,7 @@
 // forwardedHeaders are the headers that tell endpoints who the client is.
 var forwardedHeaders = []string{"Forwarded", "X-Forwarded-For", "X-Forwarded-Host", "X-Forwarded-Proto"}
 
-// removeHopByHop removes the hop-by-hop headers, and the headers that are named in Connection.
+// removeHopByHop removes the hop-by-hop headers, and the headers that the Connection header names.
 func removeHopByHop(h http.Header) {
 	for _, value := range h.Values("Connection") {
 		for name := range strings.SplitSeq(value, ",") {
@@ -39,8 +39,8 @@
 	}
 }
 
-// endToEndHeader returns a copy of a header without the hop-by-hop headers. The preserved headers stay even if Connection names
-// them.
+// endToEndHeader returns a copy of in without the hop-by-hop headers. The preserved headers stay even if the Connection header
+// names them.
 func endToEndHeader(in http.Header, preserved ...string) http.Header {
 	out := in.Clone()
 	removeHopByHop(out)
--- a/internal/frontend/listener.go
+++ b/internal/frontend/listener.go
@@ -22,7 +22,7 @@
 // The methods of Listener are safe for concurrent use. Its connections must be served by an http.Server whose ConnState hook is Track.
 type Listener struct {
 	net.Listener
-	headTimeout time.Duration // timeout for the rest of a request's head on a connection that was about to be evicted
+	headTimeout time.Duration // timeout for the rest of a request's head that began to arrive when its connection was about to be closed
 
 	mu                 sync.Mutex // guards the fields below, and the tracking fields of all clientConns
 	maxConnections     int        // number of connections beyond which those without an open request are evicted
@@ -37,7 +37,8 @@
 }
 
 // NewListener wraps a listener. While more than maxConnections connections are open, it evicts connections without an open request.
-// headTimeout limits how long reading a request's head may take on a connection that was about to be evicted.
+// headTimeout limits how long the rest of a request's head may take if the head began to arrive when its connection was about to be
+// closed.
 func NewListener(l net.Listener, maxConnections int, headTimeout time.Duration) *Listener {
 	return &Listener{Listener: l, maxConnections: maxConnections, headTimeout: headTimeout}
 }
@@ -63,7 +64,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch state {
-	case http.StateActive: // the head of a request, possibly a pipelined one, is complete: the request will be served
+	case http.StateActive: // net/http has read the head of a request, possibly a pipelined one, and will serve it: the connection must stay open
 		c.moveTo(nil)
 		c.cancelEviction(time.Time{})
 	case http.StateIdle:
--- a/internal/frontend/proxy_test.go
+++ b/internal/frontend/proxy_test.go
@@ -28,10 +28,10 @@
 	server      *Server
 	loop        *eventloop.Loop
 	upstream    *upstream.Client
-	dialedAddrs chan string // addresses that were dialed; further addresses are dropped while the buffer is full
+	dialedAddrs chan string // addresses that were dialed; while the channel's buffer is full, further addresses are dropped
 }
 
-// proxyOptions are the options of a testProxy.
+// proxyOptions configures a testProxy. With the zero value all bodies are buffered, and the balancer never cancels an attempt.
 type proxyOptions struct {
 	canCancel  bool             // the balancer may cancel attempts
 	bodyMemory *body.MemoryPool // memory for bodies; nil turns streaming off, so that all bodies are buffered
@@ -44,7 +44,8 @@
 // idempotencyWindow is how long endpoints drop duplicates of a request with an idempotency key.
 const idempotencyWindow = 300 * time.Millisecond
 
-// testClasses has one class of each idempotency: look is idempotent, book has idempotency keys, and pay is non-idempotent.
+// testClasses has a class for each kind of idempotency: requests of look are idempotent, those of book have idempotency keys, and
+// those of pay are non-idempotent.
 var testClasses = []balance.Class{
 	{Name: "look", LatencyObjective: time.Second},
 	{Name: "book", Idempotency: balance.IdempotencyKey, DedupWindow: idempotencyWindow, LatencyObjective: time.Second},
@@ -162,12 +163,12 @@
 	return update
 }
 
-// requestText returns the bytes of a client's request of a class, with a deadline of 10 s.
+// requestText returns the bytes of a client's request of the given class, with a deadline header of 10 s.
 func requestText(class, id, content string) string {
 	return requestTextWithDeadline(class, id, content, 10*time.Second)
 }
 
-// requestTextWithDeadline returns the bytes of a client's request of a class with the given deadline.
+// requestTextWithDeadline returns the bytes of a client's request of the given class. deadline is the value of its deadline header.
 func requestTextWithDeadline(class, id, content string, deadline time.Duration) string {
 	method, headers := "GET", ""
 	if class != "look" {
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -26,7 +26,7 @@
 type routedRequest struct {
 	call    *eventloop.Call
 	target  *Target
-	timeout time.Duration // how long the client waits for the response
+	timeout time.Duration // how long the client waits for the response: the value of its deadline header, or the class's default
 }
 
 // parseRequest checks and routes a request. It returns the routed request, with the eventloop.Call to submit to its pool, or else the
@@ -71,7 +71,7 @@
 	return &routedRequest{call: call, target: target.Target, timeout: timeout}, nil
 }
 
-// checkRequest returns the rejection of a request that its class does not allow, and nil for any other request.
+// checkRequest returns a rejection if the class does not allow the request, and nil if it does.
 func (c *Class) checkRequest(r *http.Request, hasBody bool) *rejection {
 	switch {
 	case len(c.Methods) > 0 && !slices.Contains(c.Methods, r.Method):
@@ -118,7 +118,7 @@
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// singleValue returns the value of a header that must be present exactly once and not be empty.
+// singleValue returns the value of a header. It returns an error unless the header is present exactly once and not empty.
 func singleValue(h http.Header, name string) (string, error) {
 	values := h.Values(name)
 	if len(values) != 1 || values[0] == "" {
--- a/internal/frontend/routeconfig.go
+++ b/internal/frontend/routeconfig.go
@@ -10,7 +10,8 @@
 	"tuliprock/internal/route"
 )
 
-// Class is a class of requests. It says whether they are idempotent and in which headers clients send their parameters.
+// Class is a class of requests. It says whether requests of the class are idempotent, and which headers hold the id, key, tenant
+// and deadline of a request.
 type Class struct {
 	Name        string
 	Idempotency balance.Idempotency
@@ -49,7 +50,7 @@
 // ActiveRouteConfig.Swap.
 type RouteConfig struct {
 	Table   *route.Table
-	Targets []Target // targets by the index of their rule in Table
+	Targets []Target // Targets[i] is the target of the rule with index i in Table
 
 	// AcceptsRequests reports whether new requests may be routed by this configuration at present; nil means always. While it returns
 	// false, new requests are shed with RejectionRetryAfter as their Retry-After.
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -41,17 +41,18 @@
 	HeadTimeout  time.Duration // timeout for reading a request's head
 	BodyTimeout  time.Duration // timeout for reading a buffered body
 	IdleTimeout  time.Duration // how long a connection may be idle between two requests
-	WriteTimeout time.Duration // timeout for writing a buffered response, or the last chunk of a streaming response
+	WriteTimeout time.Duration // timeout for writing a buffered response, or the last chunk of a streaming one, whose other chunks MinRate limits
 
 	Forwarded            ForwardedMode
 	Pseudonym            string // the daemon's pseudonym in the header Via
 	FractionalRetryAfter bool   // Retry-After has fractions of seconds; otherwise it has whole seconds (RFC 9110, 10.2.3)
 
-	// ForwardsUnchanged means that request targets are matched and forwarded unchanged, and that Content-Type is the only response header that is
-	// forwarded. It is set where no proxy in front of the daemon has checked the framing of requests.
+	// ForwardsUnchanged means that request targets are matched and forwarded unchanged, and that Content-Type is the only response
+	// header that is forwarded. It also means that no proxy in front of the daemon has checked the framing of requests, so that a
+	// request is rejected if its body may be framed both by chunks and by a Content-Length.
 	ForwardsUnchanged bool
 
-	BodyMemory *body.MemoryPool // memory for bodies; nil: bodies are never streamed, and requests need a Content-Length
+	BodyMemory *body.MemoryPool // memory for bodies; nil: bodies are never streamed, and a request with a body needs a Content-Length
 	MinRate    body.MinimumRate // minimum rate at which clients must send and receive streaming bodies
 	Metrics    *metrics.Registry
 }
@@ -90,8 +91,8 @@
 func (s *Server) AbortStreams() { s.cancelStreams() }
 
 // SetShutdownDeadline sets a deadline that caps the deadlines of all requests that are read from now on. Requests with buffered
-// bodies that were read before and have no reply 50 ms after the deadline fail, since the process ends before their clients stop
-// waiting. Only the first call has an effect.
+// bodies that were read before fail if they have no reply 50 ms after the deadline: their clients may wait longer, but the process
+// ends earlier. Only the first call has an effect.
 func (s *Server) SetShutdownDeadline(deadline time.Time) {
 	s.shutdownOnce.Do(func() {
 		s.shutdownDeadline.Store(&deadline)
--- a/internal/frontend/streaming.go
+++ b/internal/frontend/streaming.go
@@ -10,8 +10,9 @@
 	"tuliprock/internal/body"
 )
 
-// Limits on reading the rest of a body after the response was written. Closing a connection with unread bytes resets it, which could
-// keep the client from receiving the response. net/http, too, reads the rest of a body that a handler has left unread.
+// Limits on reading the rest of a body after the response was written. Closing a connection with unread bytes resets it, which
+// could keep the client from receiving the response. For this reason net/http, too, reads the rest of a body that a handler leaves
+// unread.
 const (
 	maxLingerTime  = 500 * time.Millisecond
 	maxLingerBytes = 256 << 10
@@ -32,8 +33,8 @@
 // serveStreaming serves a request whose body is streamed. Unless the client waits for 100 Continue, the request is submitted to its
 // pool only after the first body.PrefixSize bytes of the body were received. A shorter body without a trailer is buffered.
 func (s *Server) serveStreaming(w *responseWriter, r *http.Request, arrived time.Time) {
-	// A proxy in front of this daemon may have used a Content-Length beside the chunked encoding, which net/http ignores. To the
-	// proxy the bytes that follow could be a part of the body (RFC 9112, 6.1).
+	// net/http ignores a Content-Length beside the chunked encoding, but a proxy in front of this daemon may have used it. To that
+	// proxy the bytes after the chunked body could be a part of the body (RFC 9112, 6.1).
 	w.mustClose = r.ContentLength < 0
 	routes := s.routes.acquire()
 	defer routes.release()
@@ -109,8 +110,9 @@
 	s.rejectInvalid(w, bodyRejection(err))
 }
 
-// timeoutStart returns the time at which the timeout of a request with a streaming body begins: the request's arrival if the deadline
-// covers streaming bodies, and otherwise the current time, at which the beginning of the body has been received.
+// timeoutStart returns the time from which the timeout of a request with a streaming body counts: the request's arrival if the
+// deadline covers streaming bodies, and otherwise the current time. The beginning of the body has then been received, unless the
+// client waits for 100 Continue.
 func timeoutStart(request *routedRequest, arrived time.Time) time.Time {
 	if request.target.Class.DeadlineCoversStreams {
 		return arrived
@@ -118,8 +120,9 @@
 	return time.Now()
 }
 
-// attachUpload attaches a streaming body to a request and sets the request's deadlines. Unless the class's deadline covers streaming
-// bodies, it applies only to the waits before and after the body, and MaxStreamDuration limits the body itself.
+// attachUpload attaches a streaming body to a request and sets the request's deadlines. Unless the class's deadline covers
+// streaming bodies, the request's timeout limits the time before the body is sent and, once more, the wait for the response after
+// the body. MaxStreamDuration then limits the body itself.
 func (s *Server) attachUpload(request *routedRequest, upload *body.Upload, start time.Time) {
 	s.setDeadline(request, start)
 	call, class := request.call, request.target.Class
--- a/internal/frontend/wire_test.go
+++ b/internal/frontend/wire_test.go
@@ -236,8 +236,9 @@
 // maskedHeaders matches the header lines whose values differ between runs.
 var maskedHeaders = regexp.MustCompile(`(?m)^(Date|Req-Deadline-Ms): .*$`)
 
-// readHead reads the head of a message and parses the message, whose body is still to be read. It returns the head with its fields
-// sorted, or the zero message if the head is incomplete or malformed.
+// readHead reads the head of a request or response. It returns the head with its fields sorted, and the parsed message, whose body
+// has not been read yet. Both are the zero value if the head is incomplete or
+// malformed.
 func readHead[M any](in *bufio.Reader, parse func(*bufio.Reader) (M, error)) (head string, message M) {
 	var rawHead bytes.Buffer
 	for {
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -64,7 +64,7 @@
 				c.Begin()
 				c.End(Outcome(i / 2 % int(outcomeCount)))
 				if i%100 == 0 {
-					_ = r.Write(&strings.Builder{}) // a strings.Builder never fails
+					_ = r.Write(&strings.Builder{}) // writes while other goroutines count; a strings.Builder never fails
 				}
 			}
 		})
--- a/internal/route/bench_test.go
+++ b/internal/route/bench_test.go
@@ -47,7 +47,8 @@
 	}
 }
 
-// BenchmarkMatchWithoutHosts measures the case in which the index narrows a lookup least: no rule has a host.
+// BenchmarkMatchWithoutHosts measures the case in which a table's index rules out the fewest rules: no rule has a host, so that
+// only the paths can be looked up.
 func BenchmarkMatchWithoutHosts(b *testing.B) {
 	for _, kind := range []PathKind{Prefix, Segments, Pattern} {
 		for _, n := range []int{10, 1000, 10000} {
--- a/internal/route/condition.go
+++ b/internal/route/condition.go
@@ -67,8 +67,8 @@
 	return c.Operator == HasPrefix && other.Operator != Present && strings.HasPrefix(other.Value, c.Value)
 }
 
-// unescapeQuery decodes a name or value of a query like a form's: "+" is a space. A malformed name or value is returned
-// unchanged.
+// unescapeQuery decodes a name or value of a query by the rules of HTML forms, where "+" stands for a space. A malformed name or
+// value is returned unchanged.
 func unescapeQuery(s string) string {
 	if !strings.ContainsAny(s, "%+") {
 		return s
--- a/internal/route/index.go
+++ b/internal/route/index.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// pathIndex indexes the rules of one host by their paths. It refers to a rule by its index in the table; all lists of rules are
-// in ascending order.
+// pathIndex indexes the rules of one host by their paths. Each rule is stored as the rule's index in the table; all lists of rules
+// are in ascending order.
 type pathIndex struct {
 	anyPath  []int            // rules of kind AnyPath
 	exact    map[string][]int // rules of kind Exact, by their path
--- a/internal/route/mismatch.go
+++ b/internal/route/mismatch.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Mismatch describes why the rule at an index does not match a request. It returns "" if the rule matches.
+// Mismatch describes why the rule at an index of the table does not match a request. It returns "" if the rule matches.
 //
 // It compares each part of the rule directly, without the table's indexes, so that tests can check Match against it.
 func (t *Table) Mismatch(index int, r *Request) string {
--- a/internal/route/normalize.go
+++ b/internal/route/normalize.go
@@ -112,7 +112,7 @@
 		}
 		switch c := byte(high<<4 | low); {
 		case c == '/' || c == '\\' || c == 0 || c == ';' || c == '%':
-			return "", ErrInvalidEscape // a server that decodes one of these characters would read a different path
+			return "", ErrInvalidEscape // a server that decodes this slash, backslash, NUL, semicolon or percent sign would read a different path
 		case isUnreserved(c):
 			b.WriteByte(c)
 		default:
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -37,14 +37,14 @@
 	Value    string // value to compare with, if the operator is Equal or HasPrefix
 }
 
-// Rule describes the requests of one route. A request is routed by the first rule of the table of which every part matches. A
-// part that is empty matches every request.
+// Rule describes the requests of one route. A rule matches a request if all its parts match; an empty part matches every request. A
+// request is routed by the first rule of the table that matches it.
 type Rule struct {
 	Name    string
-	Hosts   []string // alternative hosts: "a.example", or "*.example" for all names below example, at any depth
+	Hosts   []string // hosts, one of which must match the request's host: "a.example", or "*.example" for all names below example, at any depth
 	Kind    PathKind
 	Path    string
-	Methods []string    // alternative request methods
+	Methods []string    // request methods, one of which the request must have
 	Headers []Condition // conditions on headers, all of which must hold
 	Query   []Condition // conditions on query parameters, all of which must hold
 }
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// Len returns how many rules the table has.
+// Len returns the number of rules in the table, which have the indexes 0 to Len()-1.
 func (t *Table) Len() int { return len(t.rules) }
 
 // Rule returns the rule at an index of New's argument, with canonical header names.
@@ -72,9 +72,9 @@
 	return bestRule, bestRule != noRule
 }
 
-// firstMatchOfHost returns the first rule of a host that matches the request if it comes before bestRule, and bestRule
-// otherwise. Kinds of paths are looked up from cheap to expensive: each match lowers bestRule, which leaves fewer expensive
-// rules to check.
+// firstMatchOfHost looks for the first rule of a host that matches the request. It returns the index of that rule if it is less
+// than bestRule, and bestRule otherwise. Kinds of paths are looked up from cheap to expensive: each match lowers bestRule, which
+// leaves fewer expensive rules to check.
 func (t *Table) firstMatchOfHost(p *pathIndex, r *Request, bestRule int) int {
 	bestRule = t.firstMatch(p.anyPath, r, bestRule)
 	bestRule = t.firstMatch(p.exact[r.Path], r, bestRule)
@@ -96,10 +96,10 @@
 	return bestRule
 }
 
-// firstMatchBySegments returns the first rule at or below a node of the segment tree that matches the request if it comes before
-// bestRule, and bestRule otherwise. path is the part of the request's path that is not matched yet: it begins with the slash before
-// the next segment, or is empty at the end. Each node has one parent and so is visited at most once: the work is bounded by the size
-// of the tree, whatever the path is.
+// firstMatchBySegments looks for the first rule that matches the request, among the rules that are stored at or below a node of the
+// segment tree. It returns the index of that rule if it is less than bestRule, and bestRule otherwise. path is the part of the
+// request's path that is not matched yet: it begins with the slash before the next segment, or is empty at the end. Each node has
+// one parent and so is visited at most once: the work is bounded by the size of the tree, whatever the path is.
 func (t *Table) firstMatchBySegments(n *segmentNode, path string, r *Request, bestRule int) int {
 	bestRule = t.firstMatch(n.trailingWildcardRules, r, bestRule)
 	if path == "" {
@@ -118,8 +118,8 @@
 	return bestRule
 }
 
-// firstMatch returns the first rule of a list that matches the request if it comes before bestRule, and bestRule otherwise. The
-// hosts and paths of these rules are known to match.
+// firstMatch looks for the first rule of a list that matches the request, and returns the index of that rule if it is less than
+// bestRule, and bestRule otherwise. The hosts and paths of the rules in the list are known to match.
 func (t *Table) firstMatch(rules []int, r *Request, bestRule int) int {
 	for _, i := range rules {
 		if i >= bestRule {
@@ -132,9 +132,9 @@
 	return bestRule
 }
 
-// firstPatternMatch returns the first rule of a list of rules of kind Pattern that matches the request if it comes before bestRule,
-// and bestRule otherwise. The hosts of these rules are known to match, but not their paths. The regular expression is matched last,
-// since it costs more than all other parts.
+// firstPatternMatch looks for the first rule of a list that matches the request, and returns the index of that rule if it is less
+// than bestRule, and bestRule otherwise. All rules in the list are of kind Pattern. Their hosts are known to match, but not their
+// paths. The regular expression is matched last, since it costs more than all other parts.
 func (t *Table) firstPatternMatch(rules []int, r *Request, bestRule int) int {
 	for _, i := range rules {
 		if i >= bestRule {
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -17,7 +17,8 @@
 	// is called on the attempt's goroutine, immediately before the first byte is written. If it returns false, nothing is
 	// written. nil means that the request should be sent.
 	IsWanted func() bool
-	// RequestSent is called after the last byte of a streaming request body was written, on one of the attempt's goroutines.
+	// RequestSent, if not nil, is called after the last byte of a streaming request body was written, on one of the attempt's
+	// goroutines.
 	RequestSent func()
 	// ResponseStarted is called when a response that is not buffered has begun. If it returns true, the callee owns the response
 	// and must close its Stream. nil means that responses must be buffered.
@@ -37,10 +38,10 @@
 var localFailures = []error{errUnknownEndpoint, errConnectionLimit, errNotAccepting, errPastDeadline, errNotWanted,
 	syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL}
 
-// Attempt sends a request to an endpoint once. It returns the result, whether it used a connection that had been idle, and the
-// endpoint's response if there is one. When ctx ends, the connection is closed before Attempt returns, so that a later attempt
-// is never in flight at the same time. After AttemptHooks.ResponseStarted has accepted a response, ctx has no effect any more,
-// and Attempt returns when the response's Stream is closed.
+// Attempt sends a request to an endpoint once. It returns the attempt's result, whether the attempt used a connection that had been
+// idle, and the endpoint's response if there is one. When ctx ends, Attempt closes the connection before it returns, so that this
+// attempt and a later one are never in flight at the same time. After AttemptHooks.ResponseStarted has accepted a response, ctx has
+// no effect any more, and Attempt returns when the response's Stream is closed.
 func (cl *Client) Attempt(
 	ctx context.Context, id string, req *Request, hooks AttemptHooks,
 ) (result balance.Result, usedIdle bool, response Response) {
@@ -123,8 +124,8 @@
 	if x.request.Upload != nil {
 		return x.runUpload(ctx, encoded)
 	}
-	// With StartsWithLastByte, the endpoint has not run a request that was not written completely. With StartsWithHead, it may
-	// have run the request if any byte was written.
+	// If RequestStart is StartsWithLastByte, the endpoint has not run a request that was not written completely. If it is
+	// StartsWithHead, the endpoint may have run the request if any byte was written.
 	if n, _ := x.conn.Write(encoded); n < len(encoded) {
 		if n > 0 && x.client.options.RequestStart == StartsWithHead {
 			return outcome{result: unlessCanceled(ctx, balance.ErrorResponse)}
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -123,7 +123,8 @@
 	}
 }
 
-// With StartsWithLastByte, a request whose last byte was not written can't have run, so that a retry is safe.
+// If endpoints run a request only after its last byte (StartsWithLastByte), a request whose last byte was not written can't have
+// run, so that a retry is safe.
 func TestResetWhileWritingIsConnectFailed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -180,8 +181,8 @@
 	}
 }
 
-// Attempt must report a reset and not send the request again. When a reused connection breaks, net/http's Transport would resend a GET
-// request, or one with an Idempotency-Key.
+// Attempt must report a reset and not send the request again. Here it differs from net/http's Transport, which resends a GET
+// request, or one with an Idempotency-Key, when a reused connection breaks.
 func TestRequestIsNotResentAfterResetOfReusedConnection(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		t.Run(method, func(t *testing.T) {
@@ -251,7 +252,7 @@
 	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	client := newTestClient(t, e.Addr)
 	for _, row := range []struct {
-		connection string // kind of connection that the attempt uses
+		connection string // connection that the attempt uses: a "new" or an "idle" one
 		want       balance.Result
 	}{{"new", balance.ConnectFailed}, {"idle", balance.NotSent}} {
 		r, _, _ := client.Attempt(resumedProcessContext{context.Background()}, "a", getRequest("/late"), AttemptHooks{})
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -7,8 +7,8 @@
 // streams, one more goroutine sends it (see bodySender).
 //
 // An attempt writes its request at most once, and writes nothing after Attempt has returned. So attempts that are made one after
-// the other are never in flight at the same time. Nothing is written for a request whose deadline has passed, which is no longer
-// wanted (see AttemptHooks.IsWanted), or whose endpoint no longer accepts requests.
+// the other are never in flight at the same time. Nothing is written if the request's deadline has passed, if the request is no
+// longer wanted (see AttemptHooks.IsWanted), or if the endpoint no longer accepts requests.
 package upstream
 
 import (
@@ -25,7 +25,7 @@
 	defaultDialTimeout = 250 * time.Millisecond
 	sweepInterval      = time.Second // time between two checks of all idle connections
 	// idleTimeoutFraction is the fraction of the endpoint's idle timeout after which an idle connection is not used any more. The
-	// endpoint could close an older connection while a request is on its way.
+	// endpoint could close a connection that has been idle for longer while a request is on its way.
 	idleTimeoutFraction = 0.9
 )
 
@@ -37,9 +37,9 @@
 	DialTimeout time.Duration
 	// MaxConnections is the maximum number of open connections, to all endpoints together.
 	MaxConnections int
-	// DialInsteadOfWaiting makes a request use a new connection if the reuse delay of all idle connections to its endpoint has not
-	// passed yet, and fewer than MaxConnections are open. Without it, the request waits until the delay of one of them has
-	// passed, which suits pools with a low MaxConnections.
+	// DialInsteadOfWaiting says what a request does if each idle connection to its endpoint has received a response so recently
+	// that it must not be reused yet. If it is set and fewer than MaxConnections are open, the request uses a new connection.
+	// Otherwise the request waits until an idle connection may be reused, which suits pools with a low MaxConnections.
 	DialInsteadOfWaiting bool
 	// RequestStart says when endpoints may begin to run a request.
 	RequestStart RequestStart
@@ -65,15 +65,15 @@
 // Client makes attempts over its own connections. It is safe for concurrent use. It does not use net/http's Transport, which
 // resends some requests when a reused connection breaks, and dials connections that may not be needed.
 type Client struct {
-	maxIdleAge  time.Duration // time since its last response after which an idle connection is not used any more
-	dialTimeout time.Duration
-	reuseDelay  time.Duration // minimum time between a response and the next request on the same connection
-	options     Options
+	maxIdleAge       time.Duration // time since its last response after which an idle connection is not used any more
+	dialTimeout      time.Duration
+	delayBeforeReuse time.Duration // minimum time between a response and the next request on the same connection
+	options          Options
 
 	mu        sync.Mutex                 // guards options.MaxConnections, openCount, pools and ejected
 	openCount int                        // number of connections that are open or being dialed
 	pools     map[string]*connectionPool // idle connections of the known endpoints, by endpoint ID
-	ejected   map[string]bool            // IDs of ejected endpoints, whether known or not
+	ejected   map[string]bool            // IDs of ejected endpoints, including those for which SetEndpoint was not called
 }
 
 // New returns a Client that knows no endpoints.
@@ -87,17 +87,17 @@
 	if o.Connect == nil {
 		o.Connect = (&net.Dialer{}).DialContext
 	}
-	delay := reuseDelay
+	delay := delayBeforeReuse
 	if o.DialInsteadOfWaiting {
-		delay = shortReuseDelay
+		delay = shortDelayBeforeReuse
 	}
 	return &Client{
-		maxIdleAge:  time.Duration(float64(o.IdleTimeout) * idleTimeoutFraction),
-		dialTimeout: o.DialTimeout,
-		reuseDelay:  delay,
-		options:     o,
-		pools:       map[string]*connectionPool{},
-		ejected:     map[string]bool{},
+		maxIdleAge:       time.Duration(float64(o.IdleTimeout) * idleTimeoutFraction),
+		dialTimeout:      o.DialTimeout,
+		delayBeforeReuse: delay,
+		options:          o,
+		pools:            map[string]*connectionPool{},
+		ejected:          map[string]bool{},
 	}
 }
 
--- a/internal/upstream/connection_pool.go
+++ b/internal/upstream/connection_pool.go
@@ -9,13 +9,14 @@
 // Minimum times between a response and the next request on the same connection. An endpoint may send a response twice, and nothing in
 // the duplicate shows that it is not the response to the next request.
 const (
-	// reuseDelay is the minimum time between a response and the next request on its connection, if Options.DialInsteadOfWaiting is not
-	// set. The platform's endpoints sent 286 duplicates of responses, 0.7 to 5.7 ms after the first copy.
-	reuseDelay = 10 * time.Millisecond
-	// shortReuseDelay is the minimum time between a response and the next request on its connection, if Options.DialInsteadOfWaiting is
-	// set. Endpoints of pools with this option were never seen to send duplicates of responses, and a delay of 10 ms costs a fifth of
-	// the request rate at 16 and 64 clients.
-	shortReuseDelay = 2 * time.Millisecond
+	// delayBeforeReuse is the minimum time between a response and the next request on its connection, if
+	// Options.DialInsteadOfWaiting is not set. The platform's endpoints sent 286 duplicates of responses, 0.7 to 5.7 ms after the
+	// first copy.
+	delayBeforeReuse = 10 * time.Millisecond
+	// shortDelayBeforeReuse is the minimum time between a response and the next request on its connection, if
+	// Options.DialInsteadOfWaiting is set. Endpoints of pools with this option were never seen to send duplicates of responses, and
+	// a delay of 10 ms lowers the requests per second by a fifth, with 16 clients and with 64.
+	shortDelayBeforeReuse = 2 * time.Millisecond
 )
 
 // connectionPool has the state and the idle connections of one endpoint. It is guarded by Client.mu.
@@ -42,7 +43,7 @@
 			}
 			return c, req.encode(ctx), nil
 		}
-		if delay := cl.reuseDelay - time.Since(r.conn.idleSince); delay > 0 {
+		if delay := cl.delayBeforeReuse - time.Since(r.conn.idleSince); delay > 0 {
 			select {
 			case <-ctx.Done():
 			case <-time.After(delay):
@@ -78,10 +79,10 @@
 		return reservation{}, errNotAccepting
 	}
 	i := len(p.idle) - 1
-	for i > 0 && time.Since(p.idle[i].idleSince) < cl.reuseDelay {
+	for i > 0 && time.Since(p.idle[i].idleSince) < cl.delayBeforeReuse {
 		i--
 	}
-	if i >= 0 && (!cl.options.DialInsteadOfWaiting || cl.openCount >= cl.options.MaxConnections || time.Since(p.idle[i].idleSince) >= cl.reuseDelay) {
+	if i >= 0 && (!cl.options.DialInsteadOfWaiting || cl.openCount >= cl.options.MaxConnections || time.Since(p.idle[i].idleSince) >= cl.delayBeforeReuse) {
 		c := p.idle[i]
 		p.idle = slices.Delete(p.idle, i, i+1)
 		return reservation{pool: p, address: p.address, conn: c}, nil
@@ -94,7 +95,7 @@
 }
 
 // release returns a connection to its pool, or closes it if the endpoint's address has changed or the endpoint accepts no requests.
-// A connection that was not used keeps its idleSince, since the endpoint's idle timeout was not reset either.
+// A connection that was not used keeps its idleSince: nothing was sent on it, so the endpoint's idle timeout continues.
 func (cl *Client) release(c *conn, wasUsed bool) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
--- a/internal/upstream/connection_pool_test.go
+++ b/internal/upstream/connection_pool_test.go
@@ -96,7 +96,7 @@
 		return true
 	})
 	client := newTestClient(t, e.Addr)
-	client.reuseDelay = time.Second
+	client.delayBeforeReuse = time.Second
 	for _, id := range []string{"r1", "r2"} {
 		req := getRequest("/c")
 		req.Header.Set("Req-Id", id)
@@ -113,10 +113,10 @@
 	}
 }
 
-// A duplicate response may arrive some milliseconds after the first copy. So that it is not read as the next response, the next
-// request on the connection must not be written before then.
+// A duplicate response may arrive some milliseconds after the first copy. The next request on the connection must be written only
+// after this time, so that the duplicate is not read as the next response.
 func TestConnectionIsNotReusedBeforeReuseDelay(t *testing.T) {
-	const maxDuplicateDelay = 6 * time.Millisecond // longest observed time from a response to its duplicate, rounded up (see reuseDelay)
+	const maxDuplicateDelay = 6 * time.Millisecond // longest observed time from a response to its duplicate, rounded up (see delayBeforeReuse)
 	var firstRequestAt, lastRequestAt time.Time
 	e := testpeer.NewEndpoint(t, func(nc net.Conn, _ *http.Request, n int) bool {
 		if lastRequestAt = time.Now(); n == 1 {
@@ -192,7 +192,7 @@
 	e := testpeer.NewEndpoint(t, testpeer.RespondWith(testpeer.ResponseOK, true))
 	for _, limit := range []int{1, 2} {
 		client := New(Options{IdleTimeout: time.Minute, DialTimeout: testpeer.Timeout, MaxConnections: limit, DialInsteadOfWaiting: true})
-		client.reuseDelay = 30 * time.Millisecond
+		client.delayBeforeReuse = 30 * time.Millisecond
 		client.SetEndpoint("a", e.Addr, true)
 		for range 2 {
 			if r := attempt(t, client, "a", getRequest("/x")); r != balance.OK {
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -16,7 +16,8 @@
 const (
 	// StartsWithLastByte means that endpoints run a request only after its last byte was sent.
 	StartsWithLastByte RequestStart = iota
-	// StartsWithHead means that endpoints may run a request as soon as any byte of it was sent.
+	// StartsWithHead means that endpoints may run a request once its head was sent. As soon as any byte was sent, the request
+	// counts as one that may have run.
 	StartsWithHead
 )
 
--- a/internal/upstream/request_body.go
+++ b/internal/upstream/request_body.go
@@ -22,8 +22,8 @@
 var crlf = []byte("\r\n")
 
 // bodySender sends a request whose body streams. Its method run is executed on a goroutine of its own. If the request was sent
-// completely, that goroutine ends before runUpload returns. Otherwise it ends when its current read from the client, if any,
-// returns.
+// completely, that goroutine ends before runUpload returns. Otherwise the goroutine may still be reading from the client, and ends
+// when that read returns.
 type bodySender struct {
 	exchange    *exchange
 	reader      *body.UploadReader
@@ -36,8 +36,8 @@
 	mu             sync.Mutex // held during each write to the endpoint; guards writtenBytes, isSent, isTooSlow and isUploadBroken
 	writtenBytes   int64      // number of bytes of the request that were written
 	isSent         bool       // whether the request's last byte was written
-	isTooSlow      bool       // whether the endpoint fell below its minimum rate
-	isUploadBroken bool       // whether the client's body could not be read
+	isTooSlow      bool       // whether the endpoint fell below Options.MinimumRate
+	isUploadBroken bool       // whether reading the body from the client has failed
 }
 
 // runUpload sends a request whose body streams, and at the same time waits for the response, which may come before the body's end.
@@ -82,7 +82,7 @@
 // for a read from the client. With closesConn it also closes the connection.
 func (s *bodySender) stop(closesConn bool) {
 	s.isStopped.Store(true)
-	s.reader.Close() // Close precedes allowBody, since a client that waits for 100 Continue must not be asked for a body that is not needed
+	s.reader.Close() // closed before allowBody lets run go on: a client that waits for 100 Continue must not be asked for a body that is not needed
 	s.allowBody()
 	if closesConn {
 		s.exchange.conn.Close()
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -15,8 +15,9 @@
 const (
 	// maxBufferedBodyBytes is the maximum length in bytes of a buffered response's body.
 	maxBufferedBodyBytes = body.BufferSize
-	// minBufferedResponseTimeout is the minimum of Options.BufferedResponseTimeout. It is also how long at most a streaming response is
-	// held back before it is handed over, and how long a response is awaited after a failed write.
+	// minBufferedResponseTimeout is the minimum of Options.BufferedResponseTimeout. It also limits how long a streaming response is
+	// held back before it is passed to AttemptHooks.ResponseStarted, and how long a response is awaited after a write of the
+	// request has failed.
 	minBufferedResponseTimeout = 500 * time.Millisecond
 	maxResponseHeads           = 8 // maximum number of heads that an attempt reads, of interim responses (1xx) and the final response together
 
--- a/internal/upstream/response_stream.go
+++ b/internal/upstream/response_stream.go
@@ -30,7 +30,7 @@
 	maxBytes  int64       // maximum length of the body in bytes; 0 means no maximum
 	meter     body.Meter  // meter of the rate at which the endpoint sends the body
 	closeErr  chan error  // receives the argument of the only call of Close
-	isClaimed atomic.Bool // whether the stream was handed over to AttemptHooks.ResponseStarted, or read completely before the handover
+	isClaimed atomic.Bool // whether it is settled that the stream is handed over to AttemptHooks.ResponseStarted, or that its body has ended or broken before
 
 	mu            sync.Mutex
 	readEnded     sync.Cond // signaled when a read from the endpoint has ended
@@ -42,8 +42,8 @@
 	err           error // error of the last read; no read follows once it is set
 }
 
-// isStreaming reports whether a response's body streams. A response that is not acceptable is always buffered, since the request
-// may be retried.
+// isStreaming reports whether a response's body streams. A response whose status is not acceptable (see isAcceptable) is always
+// buffered, since the request may be retried.
 func (x *exchange) isStreaming(resp *http.Response) bool {
 	return x.client.options.BodyMemory != nil && x.hooks.ResponseStarted != nil && !hasNoBody(x.request.Method, resp) &&
 		x.client.isAcceptable(resp.StatusCode) && (resp.ContentLength > maxBufferedBodyBytes || resp.ContentLength < 0)
@@ -55,9 +55,10 @@
 	return strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream")
 }
 
-// streamResponse hands a streaming response over to AttemptHooks.ResponseStarted and waits until its Stream is closed. Before that,
-// it holds back up to one buffer of the body, for at most minBufferedResponseTimeout: if the body breaks during this time, the
-// request can still be retried, and if the body ends, it is returned as a buffered response.
+// streamResponse hands a streaming response over to AttemptHooks.ResponseStarted and waits until the response's Stream is closed.
+// Before the handover it holds back up to one buffer of the body, for at most minBufferedResponseTimeout: if the body breaks during
+// this time, the request can still be retried, and if the body ends, the response is returned as a buffered one. Server-sent events
+// are not held back.
 func (x *exchange) streamResponse(ctx context.Context, resp *http.Response) outcome {
 	buffer, release, err := x.acquireBuffer(ctx)
 	if err != nil {
@@ -66,7 +67,7 @@
 	defer release()
 	x.conn.byteLimit.N = math.MaxInt64 // Stream.maxBytes limits a streaming body instead
 	// resp.Body must not be closed: its Close method would read to the body's end without counting the bytes that Splice has taken
-	// from the connection, and so would wait for more.
+	// from the connection. It would then wait for bytes that never come.
 	s := x.newStream(resp, buffer)
 	handedOver := make(chan bool, 1)
 	handOver := func() {
@@ -142,7 +143,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for s.filledBytes < len(s.buffer) && s.err == nil && !s.isClaimed.Load() {
-		// This deadline replaces the one that readFinalHead has set.
+		// This deadline limits the wait for the endpoint's next bytes. It replaces the one that readFinalHead has set.
 		_ = s.conn.SetReadDeadline(time.Now().Add(s.meter.MaxWait()))
 		s.readOnce()
 	}
@@ -192,7 +193,7 @@
 			continue
 		}
 		s.consumedBytes, s.filledBytes = 0, 0
-		if s.Length >= 0 && s.receivedBytes == s.Length { // net/http's reader does not count the bytes that were spliced
+		if s.Length >= 0 && s.receivedBytes == s.Length { // the body has ended; net/http's reader would wait for more, since it does not count the spliced bytes
 			s.err = io.EOF
 			break
 		}
--- a/internal/upstream/splice.go
+++ b/internal/upstream/splice.go
@@ -44,7 +44,7 @@
 	case err == nil:
 		clientMeter.Record(int(n), duration)
 		s.meter.Record(int(n), 0)
-	case errors.Is(err, os.ErrDeadlineExceeded) && duration < clientMeter.MinWait(): // the read deadline of the endpoint has passed
+	case errors.Is(err, os.ErrDeadlineExceeded) && duration < clientMeter.MinWait(): // the endpoint's read deadline has passed, since the client's write deadline is later
 		s.meter.Record(int(n), spliceReadTimeout)
 		err = nil
 	case errors.Is(err, os.ErrDeadlineExceeded):
