--- a/cmd/tuliprock/check.go
+++ b/cmd/tuliprock/check.go
@@ -100,7 +100,7 @@
 	return err
 }
 
-// summaryRows returns the tab-separated rows of the summary.
+// summaryRows returns a summary of a file as tab-separated rows, such as one for each listener, class, tenant, pool and route.
 func summaryRows(f *config.File) string {
 	var rows strings.Builder
 	for _, l := range f.Listener {
@@ -129,7 +129,8 @@
 	return rows.String()
 }
 
-// describeMembersSource describes where the members of a pool come from.
+// describeMembersSource says how a pool gets its members: from a file, DNS, a discovery agent, the cluster's agreed settings, or
+// the operators' file itself.
 func describeMembersSource(p *config.Pool) string {
 	switch {
 	case p.File != "":
--- a/cmd/tuliprock/clusterdaemon_test.go
+++ b/cmd/tuliprock/clusterdaemon_test.go
@@ -12,7 +12,7 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// clusterDaemon is a process of the daemon in a cluster.
+// clusterDaemon is a daemon of a test's cluster, with its current or last process.
 type clusterDaemon struct {
 	*process
 	configPath  string // path of the daemon's operators' file
@@ -22,7 +22,8 @@
 	clusterAddr string // address at which other daemons reach this one, unless it advertises another
 }
 
-// fastProbes are keys of the table fleet: intervals of the failure detector that detect a failure within a second.
+// fastProbes is a part of the table fleet in an operators' file. It sets intervals of the failure detector that are short enough
+// to detect a daemon's failure within a second after it happens.
 const fastProbes = `, probe_every = "100ms", probe_timeout = "50ms", suspicion = "300ms"`
 
 const unreachableEndpoint = "127.0.0.1:9" // address that refuses connections
--- a/cmd/tuliprock/clusterharness_test.go
+++ b/cmd/tuliprock/clusterharness_test.go
@@ -56,7 +56,8 @@
 			return err == nil
 		})
 	}
-	// address that each daemon advertises, by the daemon's name; a relay of the network listens there and forwards to the daemon
+	// address that each daemon advertises, by the daemon's name; a relay, which can inject network faults, listens there and
+	// forwards to the daemon
 	relayAddrs := map[string]string{}
 	listenAddrs, voters := []string{}, []string{}
 	for i := range spec.daemons {
@@ -85,7 +86,7 @@
 	return c
 }
 
-// callAdmin sends a command line to the daemon's operators' address and returns the response, or the text of the error.
+// callAdmin sends a command line to the daemon's admin address and returns the response, or the text of the error.
 func (d *clusterDaemon) callAdmin(line string) string {
 	nc, err := net.DialTimeout("tcp", d.adminAddr, reportTimeout)
 	if err != nil {
--- a/cmd/tuliprock/command.go
+++ b/cmd/tuliprock/command.go
@@ -28,7 +28,7 @@
 }
 
 // verdictError wraps an error that ends the process with exitFailure: the command ran, and its result is negative, such
-// as a broken rule or a difference between versions. Every other error of a command ends the process with exitUsage.
+// as a violated invariant, or two documents that differ. Every other error of a command ends the process with exitUsage.
 type verdictError struct{ error }
 
 // runCommand runs the command that the arguments name, prints the error if it fails, and returns the exit code.
--- a/cmd/tuliprock/faultschedule_check_test.go
+++ b/cmd/tuliprock/faultschedule_check_test.go
@@ -63,9 +63,9 @@
 	return counts
 }
 
-// findVersionsByMark returns the version at which the history lists each settings text, by the text's mark, which is the value that
-// the text sets for settingsMarkHeader. It checks that the history lists no version twice, and that the version in the response to
-// each put is listed with the text that was put.
+// findVersionsByMark returns the version of each settings text in the history, by the text's mark, which is the value that the text
+// sets for settingsMarkHeader. It checks that the history has no version twice, and that it has the text of each successful put at
+// the version that the response to the put named.
 func (s *faultSchedule) findVersionsByMark(history *status.CommandResult) map[string]uint64 {
 	versions := map[string]uint64{}
 	digests := map[uint64]string{} // SHA-256 digest, in hexadecimal, of the change that made each version, by the version
--- a/cmd/tuliprock/faultschedule_operations_test.go
+++ b/cmd/tuliprock/faultschedule_operations_test.go
@@ -11,7 +11,7 @@
 	"tuliprock/internal/cluster/status"
 )
 
-// putTimeout is the timeout of a put, which may have to wait for an election.
+// putTimeout is the timeout of a put of a document, which may have to wait until the voters have elected a leader.
 const putTimeout = 4 * time.Second
 
 // putSettings puts, through daemon d, a settings text that sets settingsMarkHeader to mark and has a comment of padBytes bytes. It
--- a/cmd/tuliprock/faultschedule_test.go
+++ b/cmd/tuliprock/faultschedule_test.go
@@ -197,7 +197,7 @@
 		time.Sleep(duration)
 		s.network.Heal()
 		return "cut"
-	case 1: // two partitions in a row: a leader that was elected during the first one may be cut off at once
+	case 1: // two partitions in a row: the second isolates one daemon, which may have been elected leader during the first
 		s.network.SetLinksBetween(groupA, groupB, faultnet.Link{IsCut: true})
 		time.Sleep(duration / 2)
 		s.network.Heal()
@@ -263,8 +263,8 @@
 	s.daemons[d].process = startProcess(s.t, "serve", "--config", s.daemons[d].configPath)
 }
 
-// run starts the clients, injects faults, waits until the cluster agrees on a last put, and then checks all observations
-// against the guarantees.
+// run starts the clients, injects faults, and waits until the cluster agrees on a last put of settings. Then it checks with
+// checkGuarantees whether the recorded observations break a guarantee of the cluster.
 func (s *faultSchedule) run() {
 	t := s.t
 	_, _ = s.putSettings(0, "first", 0)
@@ -295,8 +295,9 @@
 	s.checkGuarantees(lastPut.Version)
 }
 
-// Clusters of five daemons, or of seven for every second seed, go through random faults. TULIPROCK_TEST_FAULT_SCHEDULES is the
-// number of schedules, 1 by default, and TULIPROCK_TEST_FAULT_SCHEDULE_SEED the seed of the first one.
+// The guarantees that checkGuarantees lists hold while clusters of five daemons, or of seven for every second seed, go through
+// random faults. TULIPROCK_TEST_FAULT_SCHEDULES is the number of schedules, 1 by default, and TULIPROCK_TEST_FAULT_SCHEDULE_SEED
+// the seed of the first one.
 func TestClusterGuaranteesHoldUnderRandomFaults(t *testing.T) {
 	scheduleCount, err := strconv.Atoi(cmp.Or(os.Getenv("TULIPROCK_TEST_FAULT_SCHEDULES"), "1"))
 	firstSeed, seedErr := strconv.ParseUint(cmp.Or(os.Getenv("TULIPROCK_TEST_FAULT_SCHEDULE_SEED"), "1"), 10, 64)
--- a/cmd/tuliprock/hotrestart_test.go
+++ b/cmd/tuliprock/hotrestart_test.go
@@ -23,7 +23,7 @@
 	load := h.startLoad(12)
 	load.awaitServed(t, 50)
 	first.awaitAdmin(t, "set-down s-1", "SUCCESS")
-	time.Sleep(50 * time.Millisecond) // requests in flight at the ejected endpoint end before the requests that arrived there are counted
+	time.Sleep(50 * time.Millisecond) // requests in flight to the ejected endpoint end in this time, so that requestsWhenEjected includes them
 	requestsWhenEjected := h.endpoints[1].Requests.Load()
 	second := h.startDaemon()
 	second.awaitAdmin(t, "check", "SUCCESS")
--- a/cmd/tuliprock/hotrestartharness_test.go
+++ b/cmd/tuliprock/hotrestartharness_test.go
@@ -140,7 +140,7 @@
 	return d
 }
 
-// callAdmin sends a command line to the operators' address and returns the response, or "" if nothing listens there.
+// callAdmin sends a command line to the process's admin address and returns the response, or "" if nothing listens there.
 func (d *harnessDaemon) callAdmin(t *testing.T, line string) string {
 	t.Helper()
 	nc, err := net.Dial("tcp", d.adminAddr)
--- a/cmd/tuliprock/load.go
+++ b/cmd/tuliprock/load.go
@@ -124,8 +124,8 @@
 	return host == "localhost" || ip != nil && ip.IsLoopback()
 }
 
-// writeLoadResult prints a result as a table, and writes it as JSON to path unless path is empty. If path is "-", the JSON
-// goes to standard output and the table to standard error.
+// writeLoadResult prints the result of a load run as a table, and writes it as JSON to path unless path is empty. If path is "-",
+// the JSON goes to standard output and the table to standard error.
 func writeLoadResult(result *loadgen.Result, path string) error {
 	table := io.Writer(os.Stdout)
 	if path == "-" {
--- a/cmd/tuliprock/main.go
+++ b/cmd/tuliprock/main.go
@@ -19,7 +19,7 @@
 // Exit codes, the same for all commands.
 const (
 	exitOK      = iota // the command ran, and found no fault
-	exitFailure        // the command ran, and its result is negative, such as a broken rule; or the platform's daemon ended with an error
+	exitFailure        // the command ran, and its result is negative, such as a violated invariant; or the platform's daemon ended with an error
 	exitUsage          // the command did nothing, because of a usage or input error
 )
 
--- a/cmd/tuliprock/process_test.go
+++ b/cmd/tuliprock/process_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// process is a running process of the program with its standard error. It is killed at the end of the test.
+// process is a process of the program, whose standard error is collected in the outputBuffer. It is killed at the end of the test.
 type process struct {
 	outputBuffer
 	cmd  *exec.Cmd
--- a/cmd/tuliprock/rehearse.go
+++ b/cmd/tuliprock/rehearse.go
@@ -164,7 +164,7 @@
 }
 
 // writeResults prints the results and writes the files of --json and --report. It returns a verdictError if a run with the
-// daemon's own balancer is not valid or broke a rule; the results of baseline policies cause no error.
+// daemon's own balancer is not valid or violated an invariant; the results of baseline policies cause no error.
 func (c *rehearseCommand) writeResults(results []*rehearse.Result, files *outputFiles) error {
 	table := io.Writer(os.Stdout)
 	if c.JSON == "-" {
--- a/cmd/tuliprock/rehearse_progress.go
+++ b/cmd/tuliprock/rehearse_progress.go
@@ -33,7 +33,8 @@
 	if b.bar == nil {
 		return
 	}
-	// value of the requests served in time, as a fraction of the value of all requests that have an outcome; 1 before the first outcome
+	// Each request has a value: its priority weight times its work, scaled if it is over quota. servedFraction is the value of the
+	// requests served in time, divided by the value of all requests that have an outcome; it is 1 before the first outcome.
 	servedFraction := 1.0
 	if s.OfferedValue > 0 {
 		servedFraction = s.InTimeValue / s.OfferedValue
--- a/cmd/tuliprock/rehearse_test.go
+++ b/cmd/tuliprock/rehearse_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// A rehearsal whose sidecars run on operators' files (--serve) is valid and breaks no rule.
+// A rehearsal whose sidecars run on operators' files (--serve) is valid and violates no invariant.
 func TestRehearseWithServeBreaksNoRule(t *testing.T) {
 	code, stdout, stderr := runProgram(t, programCommand("rehearse", writeTinyDay(t), "--serve", "--json", "-"))
 	if code != 0 {
@@ -167,7 +167,8 @@
 func TestRehearseComparesBaselinesAndDemands(t *testing.T) {
 	var code int
 	var stdout, stderr string
-	// The rehearsal is repeated if a run is reported as not valid: the machine was then too busy for a judgement of the rules.
+	// The rehearsal is repeated if a run is reported as not valid: the machine was then too busy to judge whether the
+	// sidecars kept the invariants.
 	for range 3 {
 		code, stdout, stderr = runProgram(t, programCommand("rehearse", writeTinyDay(t), "--against", "random,least-outstanding", "--demand", "0.5,1"))
 		if !strings.Contains(stdout, "NOT VALID") {
@@ -179,7 +180,7 @@
 	}
 }
 
-// A rehearsal whose process was paused reports that its result is not valid, instead of a broken rule.
+// A rehearsal whose process was paused reports that its result is not valid, rather than that an invariant was violated.
 func TestPausedRehearsalIsNotValid(t *testing.T) {
 	cmd, stderr := startRehearsal(t, writeTinyDay(t))
 	for _, s := range []syscall.Signal{syscall.SIGSTOP, syscall.SIGCONT} {
--- a/cmd/tuliprock/settings_change.go
+++ b/cmd/tuliprock/settings_change.go
@@ -55,7 +55,7 @@
 	}
 	name := c.Name
 	if name == "" {
-		var localTables []string // names of the tables that each daemon configures for itself
+		var localTables []string // names of the tables in the file that are left out, since each daemon configures them for itself
 		name = config.SharedDocument
 		if body, localTables, err = config.ExtractShared(c.File, body); err != nil {
 			return err
@@ -76,7 +76,7 @@
 // Run executes the command "settings remove". The parser kong calls it with the flags and arguments set.
 func (c *settingsRemoveCommand) Run() error { return c.propose("remove", c.Name, nil) }
 
-// settingsRevertCommand puts a document as it was at an earlier version. On the command line it is named "back".
+// settingsRevertCommand restores the contents that a document had at an earlier version. On the command line it is named "back".
 type settingsRevertCommand struct {
 	changeFlags
 	Version uint64 `arg:"" help:"Version whose contents of the document are restored."`
--- a/cmd/tuliprock/settings_rollout.go
+++ b/cmd/tuliprock/settings_rollout.go
@@ -20,8 +20,8 @@
 	ID             string                 `json:"id"`             // idempotency key of the change
 	Version        uint64                 `json:"version"`        // version that the change made
 	IsUnchanged    bool                   `json:"same,omitempty"` // whether the change left the document as it was
-	IsActiveOnAll  bool                   `json:"all_act"`        // whether all daemons act on this version or a later one
-	LaggingDaemons []status.LaggingDaemon `json:"lags,omitempty"` // daemons that did not act on the latest version at the last poll; empty if all daemons act on Version
+	IsActiveOnAll  bool                   `json:"all_act"`        // whether all daemons act on Version or a later version
+	LaggingDaemons []status.LaggingDaemon `json:"lags,omitempty"` // daemons that did not act on the latest version at the last poll; empty if IsActiveOnAll
 }
 
 // awaitRollout waits until all daemons act on the version that was agreed on. It prints the progress line by line, and writes the
--- a/cmd/tuliprock/settings_test.go
+++ b/cmd/tuliprock/settings_test.go
@@ -71,8 +71,8 @@
 }
 
 // In a cluster of five daemons, a document that is put becomes active on all daemons. A version that some daemons cannot act on
-// stays pending until the next version supersedes it or it is forced. A daemon without a lease sheds requests, and a restarted
-// daemon resumes with the settings that it persisted.
+// stays pending until the next version supersedes it, or operators force it to be activated. A daemon without a lease sheds
+// requests, and a restarted daemon resumes with the settings that it persisted.
 func TestAgreedSettingsBecomeActiveOnAllDaemons(t *testing.T) {
 	var mu sync.Mutex
 	requestsBySettingsMark := map[string]int{}
@@ -111,7 +111,8 @@
 	}
 	atFlag := func(i int) string { return "--at=" + c.daemons[i].adminAddr }
 
-	// A complete operators' file is put through a daemon that is not a voter: only its shared part is taken.
+	// A complete operators' file is put through a daemon that is not a voter: only the tables that all daemons share become part
+	// of the agreed settings.
 	writeFile(append([]byte("daemon = { name = \"other\" }\nlistener = [{ name = \"in\", address = \"127.0.0.1:1\" }]\n"), c.settingsText("one", 0)...))
 	stdout := runSettings(exitOK, "left out, as it is each daemon's own: daemon, listener", "put", file, atFlag(4))
 	if !strings.Contains(stdout, "version 1 is agreed on") || !strings.Contains(stdout, "all act on version 1") {
--- a/cmd/tuliprock/settings_voters.go
+++ b/cmd/tuliprock/settings_voters.go
@@ -48,8 +48,8 @@
 	return c.Name + " still votes"
 }
 
-// isDone reports whether the queried daemon sees the change in effect. It looks at the daemons that vote now; the list of
-// voters that may grant leases can be longer.
+// isDone reports whether the daemon c.Name votes now, if the command adds it as a voter, or does not vote now, if the command
+// removes it. It checks ActiveVoters, since KnownVoters, the voters that may grant leases, can have more daemons.
 func (c *settingsVotersCommand) isDone(s *status.Settings) bool {
 	return slices.Contains(strings.Split(s.ActiveVoters, ","), c.Name) == (c.Change == "add")
 }
--- a/cmd/tuliprock/simulations.go
+++ b/cmd/tuliprock/simulations.go
@@ -17,8 +17,8 @@
 // Run executes the command "council". The parser kong calls it with the flags and arguments set.
 func (c *consensusSimCommand) Run() error { return raftsim.WriteTables(os.Stdout, c.Daemons, c.Seed) }
 
-// failureDetectorSimCommand measures the failure detector of simulated clusters. On the command line it is named
-// "detector".
+// failureDetectorSimCommand measures how fast the failure detector of simulated clusters detects failures, how many of these are
+// false, and how many messages it sends. On the command line it is named "detector".
 type failureDetectorSimCommand struct {
 	Nodes []int  `sep:"," default:"10,100,1000" help:"Numbers of daemons in the simulated fleets."`
 	Seed  uint64 `default:"1" help:"Seed of the simulation; the same seed gives the same result."`
--- a/internal/hotrestart/compatibility_test.go
+++ b/internal/hotrestart/compatibility_test.go
@@ -12,7 +12,7 @@
 )
 
 // stateOfEarlierBuild is the state in the files of testdata/build-94b9de8, which an earlier build wrote (testdata/README.md): two
-// processes accepted connections, the endpoint s-1 was ejected, and s-2 was ejected and restored.
+// processes accepted connections, an operator ejected the endpoints s-1 and s-2, and then restored s-2 to service.
 var stateOfEarlierBuild = State{
 	Format:    1,
 	Name:      "n1",
--- a/internal/hotrestart/descriptors.go
+++ b/internal/hotrestart/descriptors.go
@@ -1,14 +1,14 @@
 package hotrestart
 
 const (
-	// reservedDescriptors is how many descriptors of the common limit are kept free while several processes are alive, so that
-	// the processes can open more between two polls without exceeding the limit.
+	// reservedDescriptors is how many descriptors of the processes' common limit are kept free while several processes are alive.
+	// They are for what the processes open before the next Directory.Poll tells each how many the others use.
 	reservedDescriptors = 16
-	// startupDescriptors is the minimum number of descriptors that the other processes are assumed to use, since a process
-	// that has only just started needs as many even if it has reported fewer.
+	// startupDescriptors is the minimum total that DescriptorLimit assumes for the other processes of the sidecar, unless a newer
+	// one has taken over. A process that has only just started needs that many, even if it has reported fewer.
 	startupDescriptors = 48
-	// supersededLimitDivisor divides the common limit: a superseded process may use at least limit/supersededLimitDivisor,
-	// however many descriptors the newer processes need, as long as that many are free.
+	// supersededLimitDivisor divides the common limit: a process from which a newer one has taken over may use at least
+	// limit/supersededLimitDivisor, however many descriptors the newer processes need, as long as that many are free.
 	supersededLimitDivisor = 4
 )
 
@@ -18,7 +18,7 @@
 	switch {
 	case len(v.Others) == 0:
 		return limit
-	case v.Superseded: // the process gives up two descriptors for each that the others use, so that it keeps fewer idle connections
+	case v.Superseded: // the limit falls by two for each descriptor that the other processes use, so that this process keeps fewer idle connections
 		return min(limit-usedByOthers-reservedDescriptors, max(limit/supersededLimitDivisor, limit-2*(usedByOthers+reservedDescriptors)))
 	}
 	return limit - max(usedByOthers, startupDescriptors) - reservedDescriptors
--- a/internal/hotrestart/directory.go
+++ b/internal/hotrestart/directory.go
@@ -102,9 +102,9 @@
 	})
 }
 
-// RecordEjection records that an operator ejected the endpoint id at the time at, or restored it if isEjected is false. Once
-// RecordEjection has returned nil, the other processes see the change with their next poll. The error is ErrTooManyEjections
-// if MaxEjections endpoints are ejected already.
+// RecordEjection records that an operator ejected the endpoint id at the time at, or restored it to service if isEjected is
+// false. Once RecordEjection has returned nil, the other processes see the change with their next poll. The error is
+// ErrTooManyEjections if MaxEjections endpoints are ejected already.
 func (d *Directory) RecordEjection(id string, isEjected bool, at time.Time) error {
 	return d.updateState(func(s *State) error {
 		return s.recordEjection(Ejection{ID: id, Ejected: isEjected, AtMs: at.UnixMilli()})
--- a/internal/hotrestart/directory_test.go
+++ b/internal/hotrestart/directory_test.go
@@ -15,8 +15,8 @@
 
 var discardLog = slog.New(slog.DiscardHandler)
 
-// joinSidecar joins sidecar n1 as a new process would. The simulated process is killed at the end of the test, unless the test
-// has killed it before.
+// joinSidecar simulates a new process that joins the sidecar n1, whose files are in dir. The simulated process is killed at the
+// end of the test, unless the test has killed it before.
 func joinSidecar(t *testing.T, dir string) *Directory {
 	t.Helper()
 	d, err := Join(dir, "n1", discardLog)
@@ -38,8 +38,8 @@
 	}
 }
 
-// expectView polls, and fails the test unless the resulting View has the given values: isSuperseded says whether the process is
-// superseded, and others are the numbers of the other live processes.
+// expectView polls, and fails the test unless the resulting View has the given values: isSuperseded says whether a newer
+// process has taken over, and others are the numbers of the other live processes.
 func (d *Directory) expectView(t *testing.T, isSuperseded bool, others ...int) {
 	t.Helper()
 	if _, v, _ := d.Poll(KeepReportedDescriptors); v.Superseded != isSuperseded || !slices.Equal(v.Others, others) {
@@ -106,7 +106,8 @@
 			t.Errorf("process %d has the ejections %v, want %v", d.Number(), s.Ejections, want)
 		}
 	}
-	// A change after restoredEntryRetention removes the entry of the restored endpoint s-2, and keeps that of the ejected s-1.
+	// Recording that s-3 is restored, more than restoredEntryRetention later, removes the entry of the restored endpoint s-2, and
+	// keeps that of the ejected s-1.
 	if err := b.RecordEjection("s-3", false, at.Add(2*restoredEntryRetention)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/hotrestart/ejections.go
+++ b/internal/hotrestart/ejections.go
@@ -10,7 +10,7 @@
 	// MaxEjections bounds how many endpoints may be ejected manually at the same time. It is far more than an endpoint list
 	// has, and keeps the state at about 100 kB.
 	MaxEjections = 1024
-	// maxRestoredEntries bounds how many entries a State keeps that record the restoration of an endpoint by an operator.
+	// maxRestoredEntries bounds how many entries a State keeps of endpoints that operators have restored to service.
 	maxRestoredEntries = 1024
 	// restoredEntryRetention is how long an entry is kept after an operator restored the endpoint. It exceeds the duration of an
 	// endpoint's slow start, and the time that a process takes to start.
--- a/internal/hotrestart/lifecycle.go
+++ b/internal/hotrestart/lifecycle.go
@@ -3,14 +3,14 @@
 import "time"
 
 const (
-	// endpointListTimeout is how long a starting process waits for complete endpoint lists. The discovery service runs on the
-	// same machine, and responds at once or not at all.
+	// endpointListTimeout is how long a starting process waits for complete endpoint lists from the discovery service. A short
+	// wait is enough, since the service runs on the same machine, and responds at once or not at all.
 	endpointListTimeout = 2 * time.Second
 	// successorMinStartingTime is the minimum time for which a successor stays in phase Starting. Within this time the older
 	// processes poll and lower their descriptor limits, so that descriptors are free for the successor.
 	successorMinStartingTime = 3 * PollInterval / 2
-	// minDrainTime is the minimum time for which a superseded process keeps running, so that it can serve again if its
-	// successor dies soon.
+	// minDrainTime is the minimum time for which a process keeps running after its successor has taken over, so that it can serve
+	// again if the successor dies soon.
 	minDrainTime = time.Second
 )
 
--- a/internal/hotrestart/state.go
+++ b/internal/hotrestart/state.go
@@ -24,7 +24,7 @@
 	Format    int        `json:"format"`    // version of the format, always stateFormat
 	Name      string     `json:"name"`      // name of the sidecar
 	Processes []Process  `json:"processes"` // processes that have joined, in ascending order of their numbers
-	Ejections []Ejection `json:"bars"`      // latest ejection or restoration of each endpoint, in the order of recording
+	Ejections []Ejection `json:"bars"`      // for each endpoint, whether an operator last ejected it or restored it to service; in the order of recording
 }
 
 // Process is the entry of a process that has joined. The entry of a process that has ended stays until another process joins.
@@ -92,7 +92,7 @@
 
 // View tells one process which other processes of its sidecar are alive, and whether a newer one has taken over from it.
 type View struct {
-	Superseded bool  // whether a newer live process accepts connections
+	Superseded bool  // whether a live process accepts connections that is newer than the one that the View is for
 	Others     []int // numbers of the other live processes, in ascending order
 }
 
--- a/internal/wal/fs.go
+++ b/internal/wal/fs.go
@@ -38,10 +38,10 @@
 	io.Closer
 }
 
-// ErrLocked means that another process, or another Log of this one, has locked the directory.
+// ErrLocked means that another process, or another Log of this process, has locked the directory.
 var ErrLocked = errors.New("another process has it open")
 
-// TempSuffix ends the name of a file that ReplaceFile is writing. Open removes such files, which a crash has left.
+// TempSuffix ends the name of a file that ReplaceFile is writing. wal.Open removes such files that a crash has left.
 const TempSuffix = ".tmp"
 
 // ReplaceFile atomically creates or replaces the file called name, whose new content is all parts in order. The content is written to
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -47,7 +47,7 @@
 	snapshotIndex uint64   // index of the latest snapshot that must be durable; 0: there is none
 }
 
-// snapshotBody returns the body of a snapshot at index.
+// snapshotBody returns the text that the tests write as the body of a snapshot at index.
 func snapshotBody(index uint64) string { return fmt.Sprint("state at ", index) }
 
 // checkRecovered returns an error unless what was recovered is consistent with the model: the records must be a prefix of the appended
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// Synced records survive crashes and disk errors in random sequences of calls. A sequence that fails is reduced to a short one.
+// Synced records survive crashes and disk errors in random sequences of calls. rapid reduces a sequence that fails to a short one.
 func TestSyncedRecordsSurviveCrashes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -140,8 +140,8 @@
 	})
 }
 
-// Synced records survive crashes and disk errors in thousands of random sequences of calls. A sequence that fails is not reduced to
-// a short one.
+// Synced records survive crashes and disk errors in thousands of random sequences of calls. Without rapid, a sequence that fails is
+// reported at its full length.
 func TestSyncedRecordsSurviveCrashesInThousandsOfHistories(t *testing.T) {
 	for seed := range uint64(5000) {
 		if err := checkHistory(simdisk.New(), rand.New(rand.NewPCG(seed, 2)), 60); err != nil {
@@ -150,8 +150,8 @@
 	}
 }
 
-// The random sequences of calls that checkHistory makes can detect a loss of records: at least one of 50 fails on a disk whose Sync
-// reports success but makes nothing durable.
+// The random sequences of calls that checkHistory makes can detect a loss of records: on a disk whose Sync reports success but makes
+// nothing durable, at least one sequence of 50 fails.
 func TestHistoriesDetectDiskWithoutSync(t *testing.T) {
 	for seed := range uint64(50) {
 		disk := simdisk.New()
--- a/internal/wal/recovery.go
+++ b/internal/wal/recovery.go
@@ -55,8 +55,8 @@
 	*Log
 	restore func(uint64, io.Reader) error // receives the index and the body of the snapshot
 	replay  func(Record) error            // receives each record after the snapshot
-	// nextIndexInLastSegment is the index after the last record in the segment that was read last. It is less than nextIndex if the
-	// segment has lost records that the snapshot replaces.
+	// nextIndexInLastSegment is the index after the last record in the segment that was read last. It is less than Log.nextIndex, the
+	// index for the next appended record, if records that the snapshot replaces are missing at the end of the segment.
 	nextIndexInLastSegment uint64
 }
 
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// errIncompleteHeader means that the last segment has no complete header. A crash came before a record was written to the segment, since
-// the header is synced first.
+// errIncompleteHeader means that a crash left the last segment without a complete header. No record can have been written to the
+// segment, since its header is synced before the first record.
 var errIncompleteHeader = errors.New("the segment's header is incomplete")
 
 // replaySegments replays all records after the snapshot, and makes the last segment the active one.
@@ -132,8 +132,8 @@
 		}
 	}
 	r.syncedIndex = r.nextIndex - 1
-	// If the last segment lacks records before nextIndex, which the snapshot replaces, the next record must begin a new segment, since
-	// the indexes within a segment must have no gap.
+	// If records that the snapshot replaces are missing at the end of the last segment, the next record must not be appended there,
+	// since the indexes within a segment must have no gap. It begins a new segment.
 	if r.activeSegment != nil && r.nextIndexInLastSegment < r.nextIndex {
 		return r.rotate()
 	}
--- a/internal/wal/recovery_test.go
+++ b/internal/wal/recovery_test.go
@@ -64,7 +64,7 @@
 				damagedDisk.SetBytes(name, damagedContent)
 				want := &model{payloads: m.payloads, snapshotIndex: m.snapshotIndex, syncedIndex: 27} // records 28 to 30 are the last synced batch
 				if damage == "truncated" {
-					want.syncedIndex = 15 // records after the snapshot may be lost: a truncated segment has no later record that shows how far it was synced
+					want.syncedIndex = 15 // all records after the snapshot may be lost: a record that a truncation removed can no longer show that earlier ones were synced
 				}
 				isRejected, err := checkDamagedLog(damagedDisk, want)
 				if err != nil {
--- a/internal/wal/segment.go
+++ b/internal/wal/segment.go
@@ -15,8 +15,9 @@
 	segmentSuffix, snapshotSuffix = ".log", ".snap"
 )
 
-// The header of segments and snapshots (docs/wal-format.md) begins with the magic bytes. The constants file...Offset are the offsets
-// of its other fields in bytes. Numbers are little-endian, and the bytes between the fields are zero.
+// The header of segments and snapshots (docs/wal-format.md) begins with the magic bytes. The constants fileVersionOffset to
+// fileReservedOffset are the offsets, in bytes, of the header's other fields. Numbers are little-endian, and the bytes between the
+// fields are zero.
 const (
 	segmentMagic, snapshotMagic = "TULIPWAL", "TULIPSNP" // first bytes of a file, which identify its kind
 	formatVersion               = 1                      // version of the format; files with another version are rejected
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -89,7 +89,7 @@
 	if err != nil {
 		return err
 	}
-	firstKeptIndex := uint64(0) // first index of the segment that has, or will have, the record after the snapshot
+	firstKeptIndex := uint64(0) // first index of the oldest segment to keep: the one that has the record after the snapshot, or else the last one
 	for _, firstIndex := range l.segmentFirstIndexes {
 		if firstIndex <= l.snapshotIndex+1 {
 			firstKeptIndex = firstIndex
