--- a/internal/cluster/consensus/bootstrap_test.go
+++ b/internal/cluster/consensus/bootstrap_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// initialVoterNames are the names of the initial voters in these tests.
+// initialVoterNames names the three daemons that make up each bootstrapCluster.
 var initialVoterNames = []string{"a", "b", "c"}
 
 // bootstrapDisk is the disk of an initial voter: its id, and the vote that the voter has stored on it.
--- a/internal/cluster/consensus/command.go
+++ b/internal/cluster/consensus/command.go
@@ -15,7 +15,7 @@
 // ClaimSlot for the voters; or Read.
 type Command struct {
 	Format          int              `json:"format"`             // commandFormat of the build that encoded the command; set by Encode
-	ID              string           `json:"id,omitempty"`       // id by which the proposer recognizes the result; a document change with the id of an earlier one has no effect
+	ID              string           `json:"id,omitempty"`       // id by which the proposer recognizes the command's result; a document change has no effect if a recent document change had the same id
 	ExpectedVersion *uint64          `json:"expect,omitempty"`   // version that must be the latest one, or else a document change is rejected; nil: not checked
 	ProposedBy      string           `json:"by,omitempty"`       // name of the daemon that proposed the command
 	AtUnixMilli     int64            `json:"at,omitempty"`       // time of the proposal in Unix milliseconds, by the clock of the proposing daemon
--- a/internal/cluster/consensus/document.go
+++ b/internal/cluster/consensus/document.go
@@ -7,15 +7,17 @@
 	"slices"
 )
 
-// Bounds of the replicated documents. A snapshot holds the documents three times at most (latest, pending and active),
-// and the retained earlier ones: encoded as JSON that is under 7 MiB, which fits into one message of the transport.
+// Bounds of the replicated documents. A snapshot holds at most the documents of three versions (latest, pending and
+// active) and the retained documents of earlier versions. Such a snapshot, encoded as JSON, is under 7 MiB and fits
+// into one message of the transport.
 const (
 	MaxDocumentBytes = 1 << 20                  // greatest size of a document's body in bytes
 	MaxVersionBytes  = MaxDocumentBytes * 5 / 4 // greatest total size of the bodies of one version's documents in bytes
 	MaxDocuments     = 1000                     // greatest number of documents in one version
 )
 
-// Document is a named text that the voters replicate, as one command wrote it.
+// Document is a named text that the voters replicate, as one command wrote it. A later command that writes the same
+// name makes another Document.
 type Document struct {
 	Name       string   `json:"name"`
 	Version    uint64   `json:"version"`        // version that the command made which wrote the document
--- a/internal/cluster/consensus/document_change.go
+++ b/internal/cluster/consensus/document_change.go
@@ -11,7 +11,7 @@
 // Bounds of the documents and history entries that the State retains of earlier versions.
 const (
 	maxRetainedBytes  = 1 << 20 // greatest total size, in bytes, of the retained bodies of documents that were replaced or removed
-	maxHistoryEntries = 1000    // greatest number of entries in the history, and of retained documents
+	maxHistoryEntries = 1000    // greatest number of entries in the history; also the greatest number of retained documents
 )
 
 // applyDocumentChange puts, removes or reverts a document. A duplicate of an earlier command changes nothing and gets the
--- a/internal/cluster/consensus/interleaving_test.go
+++ b/internal/cluster/consensus/interleaving_test.go
@@ -49,7 +49,8 @@
 	return x
 }
 
-// completeCheckAndInstall accepts the version that the daemon is to check, and marks the leased version as installed.
+// completeCheckAndInstall reports to a LeaseHolder that its daemon accepts the version offered for a check, and that
+// the daemon has installed the leased version.
 func completeCheckAndInstall(h *LeaseHolder) {
 	version, _ := h.PendingCheck()
 	h.CompleteCheck(version, nil)
@@ -173,9 +174,9 @@
 	longestOverlap := time.Duration(0)
 	visit := func(x *exploredCluster) { longestOverlap = max(longestOverlap, x.measureOverlap()) }
 	orderCount := explore(t, depth, nil, visit)
-	// Explore longer orders in which the overlap comes close to MaxOverlap. Each begins with stepPut (4) and some
-	// requests (0 or 1) and grants (2 or 3), after which both daemons have the documents of version 2 or need only a few more
-	// steps to get them.
+	// Explore longer orders in which the overlap comes close to MaxOverlap. Each prefix has stepPut (4) and then lease
+	// requests (0 or 1) and grants (2 or 3) of both daemons. After it, both daemons have the documents of version 2, or
+	// can get these documents within a few more steps.
 	for _, prefix := range [][]int{{4, 0, 2, 1, 3, 0, 2, 1, 3}, {4, 0, 2, 0, 2, 1, 3, 1}, {4, 0, 2, 0, 2, 1}} {
 		orderCount += explore(t, depth-1, prefix, visit)
 	}
--- a/internal/cluster/consensus/lease.go
+++ b/internal/cluster/consensus/lease.go
@@ -56,7 +56,7 @@
 	DiskLost      bool     `json:"Lost"`    // whether the daemon's voter slot is bound to another disk than the request named
 
 	OldestActiveVersion uint64          `json:"All"`  // oldest version on which a daemon may still act; 0: not known yet
-	Lagging             []LaggingDaemon `json:"Lags"` // daemons that delay an activation, or do not act on the active version yet; at most maxLaggingDaemons
+	Lagging             []LaggingDaemon `json:"Lags"` // daemons that delay the activation of the pending version, or do not act on the active version yet; at most maxLaggingDaemons
 }
 
 // LaggingDaemon is a daemon that delays the activation of the pending version or, if no version is pending, does not act
--- a/internal/cluster/consensus/lease_holder.go
+++ b/internal/cluster/consensus/lease_holder.go
@@ -7,7 +7,7 @@
 
 const (
 	requestsPerShortestLease  = 4 // number of lease requests in the shorter of LeaseConfig.Duration and ShortDuration, so that a lease stays valid even if some requests are lost
-	activationIntervalDivisor = 4 // number by which the interval between requests is divided while a version is being activated
+	activationIntervalDivisor = 4 // number by which LeaseHolder.requestInterval is divided while the daemon is ready for a later version than its leased one, or while some daemon lags
 )
 
 // LeasedVersion has the version on which a daemon may act until the lease on it expires, and the previous version, on
@@ -21,7 +21,7 @@
 	PreviousExpiresAt time.Duration       // instant, by the daemon's clock, at which the lease on PreviousVersion expires
 }
 
-// CoversVersion reports whether a lease allows the daemon to act on a version at an instant.
+// CoversVersion reports whether, at the instant now, the daemon holds an unexpired lease on the given version.
 func (l *LeasedVersion) CoversVersion(version uint64, now time.Duration) bool {
 	return version == l.Version && now < l.ExpiresAt || version == l.PreviousVersion && now < l.PreviousExpiresAt
 }
@@ -48,11 +48,11 @@
 	rejectReason    string              // why the daemon rejected rejectedVersion
 
 	oldestActiveVersion uint64          // oldest version on which a daemon may still act, according to the latest grant; 0: not known
-	lagging             []LaggingDaemon // daemons that delay an activation, or do not act on the active version yet, according to the latest grant
+	lagging             []LaggingDaemon // daemons that, according to the latest grant, delay the activation of the pending version or do not act on the active version yet
 }
 
-// NewLeaseHolder returns a holder without a lease. version and docs are the version on which the daemon acted before a
-// restart and its documents, if the daemon persisted them; otherwise version is 0.
+// NewLeaseHolder returns a holder without a lease. If the daemon persisted the version on which it acted before a
+// restart, version is that version and docs has its documents; otherwise version is 0.
 func NewLeaseHolder(name string, config LeaseConfig, version uint64, docs map[string]Document) *LeaseHolder {
 	return &LeaseHolder{
 		config:          config,
@@ -124,8 +124,8 @@
 	}
 }
 
-// PendingCheck returns the version that the daemon is to check before it reports the outcome to CompleteCheck, and its
-// documents; version 0 means that there is none.
+// PendingCheck returns a version that the daemon is to check, with the documents of that version; version 0 means that
+// there is nothing to check. The daemon reports the outcome with CompleteCheck.
 func (h *LeaseHolder) PendingCheck() (version uint64, docs map[string]Document) {
 	return h.offeredVersion, h.offeredDocs
 }
@@ -169,8 +169,9 @@
 	return l.Version, l.Docs, l.Version > 0 && (now < l.ExpiresAt || h.config.SkipExpiryCheck)
 }
 
-// OldestActiveVersion returns the oldest version on which a daemon of the cluster may still act, or 0 if it is not known, and
-// the daemons that delay an activation or do not act on the active version yet. Both come from the latest grant.
+// OldestActiveVersion returns the oldest version on which a daemon of the cluster may still act, or 0 if it is not
+// known. It also returns the daemons that delay the activation of the pending version or do not act on the active
+// version yet. Both come from the latest grant.
 func (h *LeaseHolder) OldestActiveVersion() (version uint64, lagging []LaggingDaemon) {
 	return h.oldestActiveVersion, h.lagging
 }
--- a/internal/cluster/consensus/lease_manager.go
+++ b/internal/cluster/consensus/lease_manager.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// maxOutstandingGrants bounds the grants that are recorded for one daemon. When there are more, the latest two grants are
-// merged into one with the later Seq and the later expiry, so that the leader waits too long rather than too briefly.
+// maxOutstandingGrants bounds the grants that the leader records for one daemon. When that many are recorded, a further
+// grant is merged with the latest one: the result has the sequence number of the further grant and the later of the two
+// expiry instants. So the leader may wait too long for the daemon's leases to expire, but never too briefly.
 const maxOutstandingGrants = 32
 
 // LeaseManager is the leader's side of leases during one term: it knows which leases may be outstanding, and hence when
@@ -20,7 +21,7 @@
 	daemons     map[string]*daemonLeases // daemons that may hold a lease, by name; Refresh drops those whose leases have expired
 
 	oldestActiveVersion uint64          // oldest version on which a daemon may still act, according to the latest Refresh; 0: not known
-	lagging             []LaggingDaemon // daemons that lagged at the latest Refresh, sorted by name
+	lagging             []LaggingDaemon // daemons that, at the latest Refresh, delayed the activation of the pending version or did not act on the active version yet, sorted by name
 }
 
 // daemonLeases has a daemon's latest request and the grants with which the daemon may hold a lease.
@@ -72,7 +73,7 @@
 }
 
 // leaseDuration returns the duration of the lease that answers a request. It is 0 for a daemon that can't act on the
-// active version, or that can't act on a pending version that was forced.
+// active version, or that rejects a pending version that operators force to be activated.
 func (m *LeaseManager) leaseDuration(r *LeaseRequest, state *State) time.Duration {
 	switch {
 	case r.ReadyVersion < state.ActiveVersion || isExcludedByForce(state, r):
@@ -132,9 +133,9 @@
 	return state.PendingVersion
 }
 
-// VersionToSkip returns the pending version if the latest version is to take its place, else 0. The pending version is to
-// be skipped if some daemon rejects it, it was not forced, and a later version exists. No daemon ever acts on a version
-// that was skipped.
+// VersionToSkip returns the pending version if the latest version is to take its place, else 0. The pending version is
+// to be skipped if some daemon rejects it, operators do not force its activation, and a later version exists. No daemon
+// ever acts on a version that was skipped.
 func (m *LeaseManager) VersionToSkip(now time.Duration, state *State) uint64 {
 	if !state.hasPendingVersion() || state.Version == state.PendingVersion || state.ForcedVersion >= state.PendingVersion {
 		return 0
@@ -152,9 +153,9 @@
 	return now >= m.leaderSince+m.config.expiryWait(m.config.Duration)
 }
 
-// laggingDaemons returns the lagging daemons, sorted by name. While a version is pending these are the daemons that delay
-// its activation, otherwise the ones that do not act on the active version yet. Daemons that certainly hold no lease do not
-// lag. Clients of the operators' address may match the texts of the reasons.
+// laggingDaemons returns the lagging daemons, sorted by name. While a version is pending, a daemon lags if it delays
+// the activation of that version; otherwise a daemon lags if it does not act on the active version yet. Daemons that
+// certainly hold no lease do not lag. Clients of the admin address may match the texts of the reasons.
 func (m *LeaseManager) laggingDaemons(now time.Duration, state *State) (lagging []LaggingDaemon) {
 	for name, d := range m.daemons {
 		reason := ""
@@ -175,7 +176,7 @@
 }
 
 // activationWaitReason describes why the activation of the pending version waits for a daemon. It is empty if the
-// activation does not wait for that daemon. Clients of the operators' address may match the text.
+// activation does not wait for that daemon. Clients of the admin address may match the text.
 func (m *LeaseManager) activationWaitReason(now time.Duration, state *State, d *daemonLeases) string {
 	expiresAt := d.expiresAt()
 	switch {
@@ -208,7 +209,8 @@
 	return oldest
 }
 
-// isExcludedByForce reports whether a daemon gets no lease because it rejects the pending version, which was forced.
+// isExcludedByForce reports whether a daemon gets no lease because it rejects the pending version, which operators
+// force to be activated.
 func isExcludedByForce(state *State, r *LeaseRequest) bool {
 	return state.hasPendingVersion() && state.ForcedVersion >= state.PendingVersion && rejectsPending(state, r)
 }
--- a/internal/cluster/consensus/lease_test.go
+++ b/internal/cluster/consensus/lease_test.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// A daemon that can't act on a version reports why, and delays the version's activation. A later version takes the place
-// of the rejected one. A version that is forced is activated without the daemon.
+// A daemon that can't act on a version reports why, and delays the version's activation. A later version takes the
+// place of the rejected one. A version that operators force to be activated is activated without the daemon.
 func TestVersionThatDaemonRejectsWaitsUnlessForced(t *testing.T) {
 	state, now := stateWithPendingVersion(t), testLeaseConfig.Duration*10
 	m := NewLeaseManager(0, testLeaseConfig)
@@ -207,8 +207,8 @@
 	}
 }
 
-// BenchmarkGrant measures a leader's work for each lease request while a version is pending, including the request's
-// fraction of the work that scans all daemons once a heartbeat.
+// BenchmarkGrant measures a leader's work for each lease request while a version is pending. The measured work includes
+// LeaseManager.Refresh, which a leader calls once a heartbeat and which scans all daemons.
 func BenchmarkGrant(b *testing.B) {
 	for _, daemonCount := range []uint64{50, 300, 1000} {
 		b.Run(fmt.Sprint(daemonCount), func(b *testing.B) {
--- a/internal/cluster/consensus/membership_test.go
+++ b/internal/cluster/consensus/membership_test.go
@@ -115,8 +115,9 @@
 	}
 }
 
-// A learner is promoted only after its voter has responded. raft counts a learner as active as soon as it is added; if a
-// voter that has not started yet were promoted, the leader would take its disk for lost.
+// A learner is promoted only after its voter has responded, since raft counts a learner as active as soon as it is
+// added. If a voter that never started were promoted, its daemon would still report that it runs no voter, and the
+// leader would answer that the disk of the voter is lost (LeaseGrant.DiskLost).
 func TestLearnerThatNeverRespondedIsNotPromoted(t *testing.T) {
 	v, now := newSingleVoter(t)
 	for _, c := range []Command{{ID: "s", ChangeVoter: &VoterChange{Name: "x"}}, {ClaimSlot: &SlotClaim{VoterID: 2, DiskID: "m"}}} {
@@ -137,7 +138,7 @@
 	}
 }
 
-// The log in memory retains commands of a bounded number and a bounded total size.
+// However many commands a voter applies, its log in memory stays below a fixed number of entries and of bytes.
 func TestRetainedLogIsBounded(t *testing.T) {
 	for _, c := range []struct {
 		name      string
--- a/internal/cluster/consensus/output.go
+++ b/internal/cluster/consensus/output.go
@@ -72,8 +72,8 @@
 // installSnapshot replaces the log and the State by a snapshot received from another voter.
 func (v *Voter) installSnapshot(snapshot *raftpb.Snapshot) {
 	if err := errors.Join(v.storage.ApplySnapshot(snapshot), v.restore(snapshot)); err != nil {
-		// Another voter has sent a snapshot that this build can't install. Only a daemon of the cluster can cause this panic if
-		// the cluster has keys: the transport has then verified the message's signature.
+		// Another voter has sent a snapshot that this build can't install. If the cluster has keys, no process outside
+		// the cluster can have sent it: the transport has verified the message's signature.
 		panic(fmt.Sprintf("install snapshot of another voter: %v", err))
 	}
 }
--- a/internal/cluster/consensus/reconfiguration.go
+++ b/internal/cluster/consensus/reconfiguration.go
@@ -85,7 +85,8 @@
 	_ = v.rawNode.ProposeConfChange(&raftpb.ConfChange{Type: kind.Enum(), NodeId: &id})
 }
 
-// applyConfChange applies a committed change of raft's configuration.
+// applyConfChange passes a committed change of raft's configuration to raft, and updates the State's ActiveVoters and
+// DepartingVoters accordingly.
 func (v *Voter) applyConfChange(entry *raftpb.Entry) {
 	change := &raftpb.ConfChange{}
 	if err := proto.Unmarshal(entry.GetData(), change); err != nil {
--- a/internal/cluster/consensus/recovery.go
+++ b/internal/cluster/consensus/recovery.go
@@ -86,8 +86,8 @@
 	return fmt.Errorf("unknown record type %q", recordType)
 }
 
-// appendEntry appends an encoded entry. The entry replaces an earlier one with the same index, and all entries with
-// higher indexes are dropped.
+// appendEntry decodes an entry and appends it to the log in memory. The entry replaces an earlier one with the same
+// index, and all entries with higher indexes are dropped.
 func (d *RecoveredState) appendEntry(encoded []byte) error {
 	entry := &raftpb.Entry{}
 	if err := proto.Unmarshal(encoded, entry); err != nil {
--- a/internal/cluster/consensus/state.go
+++ b/internal/cluster/consensus/state.go
@@ -17,7 +17,7 @@
 	Version        uint64              `json:"version"` // latest version of the documents; 0: no document was ever written
 	PendingVersion uint64              `json:"coming"`  // version to be activated next; equal to ActiveVersion if no version is pending
 	ActiveVersion  uint64              `json:"active"`  // version on which the daemons act; 0: none was activated yet
-	ForcedVersion  uint64              `json:"forced"`  // latest version to be activated even if daemons reject it
+	ForcedVersion  uint64              `json:"forced"`  // latest version that operators forced to be activated even if daemons reject it; 0: none
 	Docs           map[string]Document `json:"docs"`    // documents of Version, by name
 	PendingDocs    map[string]Document `json:"next"`    // documents of the pending version, by name
 	ActiveDocs     map[string]Document `json:"acted"`   // documents of the active version, by name
@@ -95,7 +95,8 @@
 	return CommandResult{Version: s.ActiveVersion}
 }
 
-// applySkip makes the latest version the pending version in place of the given version, unless that version was forced.
+// applySkip makes the latest version the pending version in place of the given version, unless operators have forced
+// the given version to be activated. It has no effect if the given version is not pending any more.
 func (s *State) applySkip(version uint64) CommandResult {
 	if version == s.PendingVersion && s.ActiveVersion < s.PendingVersion && s.ForcedVersion < s.PendingVersion {
 		s.makeLatestPending()
--- a/internal/cluster/consensus/state_test.go
+++ b/internal/cluster/consensus/state_test.go
@@ -35,8 +35,9 @@
 	return Command{Put: &DocumentPut{name, []byte(body)}}
 }
 
-// Random commands are applied in random order, some of them twice. Versions never decrease, a duplicate is applied once,
-// a command that expects another version changes nothing, and two States that applied the same commands are equal.
+// Random commands are applied in random order, some of them twice. Versions never decrease, a duplicate is applied
+// once, a command whose ExpectedVersion is not the latest version changes nothing, and two States that applied the same
+// commands are equal.
 func TestCommandsAreDeterministicAndIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := NewState(), NewState()
@@ -138,7 +139,8 @@
 	}
 }
 
-// A forced version stays pending until it is active, even if a later version exists. A skipped version is never active.
+// A version that operators force to be activated stays pending until it is active, even if a later version exists. A
+// version that is skipped, because a later one takes its place, is never active.
 func TestForcedVersionIsNotSkipped(t *testing.T) {
 	state := NewState()
 	for range 3 {
--- a/internal/cluster/consensus/voter.go
+++ b/internal/cluster/consensus/voter.go
@@ -9,8 +9,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// electionTimeoutHeartbeats is the least number of heartbeat intervals without a message of a leader after which a follower
-// campaigns.
+// electionTimeoutHeartbeats is the shortest election timeout in heartbeat intervals: a follower campaigns only if it
+// has received no message of a leader for at least that long.
 const electionTimeoutHeartbeats = 5
 
 // Bounds of raft's messages and of its uncommitted log.
@@ -50,12 +50,12 @@
 	isLeader        bool          // whether rawNode takes itself for the leader
 	nextHeartbeatAt time.Duration // instant of the next heartbeat, while this voter leads
 	leaderMessageAt time.Duration // instant at which the latest message of a leader arrived
-	campaignAt      time.Duration // instant at which this voter campaigns, while it follows
+	campaignAt      time.Duration // instant at which this voter campaigns unless a message of a leader arrives before, while this voter follows
 
 	leaseManager        *LeaseManager         // manager of leases; nil unless this voter leads and has applied what earlier leaders committed
 	readRound           uint64                // number of the latest round of raft's ReadIndex that was started
 	unconfirmedRequests []pendingLeaseRequest // lease requests whose round of ReadIndex is not confirmed yet
-	confirmedRequests   []pendingLeaseRequest // lease requests with a confirmed round, whose read index may not be applied yet
+	confirmedRequests   []pendingLeaseRequest // lease requests whose round of ReadIndex is confirmed, and which wait until the entries up to their readIndex are applied
 	proposedVersion     uint64                // latest version that this leader proposed to activate or skip in this term
 
 	// Results are the results of committed commands, in the order of the log. The owner takes them and sets the field to
@@ -121,8 +121,9 @@
 // Term returns the latest term of raft that this voter has seen.
 func (v *Voter) Term() uint64 { return v.rawNode.BasicStatus().GetTerm() }
 
-// LaggingDaemons returns the daemons for which this leader waited at its latest heartbeat. It returns nil if this voter
-// does not lead.
+// LaggingDaemons returns the daemons that, at the latest heartbeat of this leader, delayed the activation of the
+// pending version or did not act on the active version yet. It returns nil if this voter does not lead, or has not
+// applied yet what earlier leaders committed.
 func (v *Voter) LaggingDaemons() []LaggingDaemon {
 	if v.leaseManager == nil {
 		return nil
@@ -164,13 +165,13 @@
 	v.nextHeartbeatAt = now + v.config.HeartbeatInterval
 	v.rawNode.Tick()
 	v.retryReadIndex()
-	v.proposeActivation(now)
+	v.proposeActivateOrSkip(now)
 	v.reconcileVoters()
 }
 
-// proposeActivation proposes to activate the pending version, or to skip it, once that is allowed. It proposes at most one
-// command for a version in a term.
-func (v *Voter) proposeActivation(now time.Duration) {
+// proposeActivateOrSkip proposes to activate the pending version, or to skip it, once leaseManager finds that this may
+// be done. In one term, a leader proposes only one of the two, and only once, for each version.
+func (v *Voter) proposeActivateOrSkip(now time.Duration) {
 	if v.leaseManager == nil {
 		return
 	}
--- a/internal/cluster/raftnode/bootstrap.go
+++ b/internal/cluster/raftnode/bootstrap.go
@@ -32,8 +32,9 @@
 	Vote      consensus.BootstrapVote `json:"word"`  // vote of the sender on whether it has created its log
 }
 
-// startBootstrapRound starts a round of the bootstrap: it requests the votes of the other initial voters. If votes of
-// earlier rounds are still missing bootstrapWarnAfter after Start, it logs a warning once.
+// startBootstrapRound starts a round of the bootstrap: it requests the votes of the other initial voters. If the time
+// bootstrapWarnAfter has passed since Start and votes of the previous round are missing, it logs a warning, but only
+// once.
 func (n *Node) startBootstrapRound(now time.Duration) {
 	b := n.bootstrap
 	b.nextRoundAt = now + bootstrapRoundInterval
--- a/internal/cluster/raftnode/cluster_test.go
+++ b/internal/cluster/raftnode/cluster_test.go
@@ -111,16 +111,16 @@
 	return version
 }
 
-// waitAllActing waits until all nodes act on the given version or a later version, in which the test document has this
-// body.
-func (c *testCluster) waitAllActing(version uint64, body string) {
+// waitUntilAllNodesActOn waits until each node of the cluster has a valid lease on the given version or a later one,
+// and the test document has the given body in the leased version.
+func (c *testCluster) waitUntilAllNodesActOn(version uint64, body string) {
 	c.t.Helper()
-	c.waitActing(c.nodes, version, body)
+	c.waitUntilNodesActOn(c.nodes, version, body)
 }
 
-// waitActing waits until the given nodes act on the given version or a later version, in which the test document has this
-// body.
-func (c *testCluster) waitActing(nodes []*Node, version uint64, body string) {
+// waitUntilNodesActOn waits until each of the given nodes has a valid lease on the given version or a later one, and
+// the test document has the given body in the leased version.
+func (c *testCluster) waitUntilNodesActOn(nodes []*Node, version uint64, body string) {
 	c.t.Helper()
 	testpeer.Eventually(c.t, fmt.Sprint("all act on version ", version), func() bool {
 		for _, n := range nodes {
--- a/internal/cluster/raftnode/compatibility_test.go
+++ b/internal/cluster/raftnode/compatibility_test.go
@@ -170,8 +170,8 @@
 	return n
 }
 
-// A daemon that starts alone from the data of an earlier build has the identity of its voter and the cached version, but
-// no lease.
+// A daemon that starts alone from the data of an earlier build has the identity of its voter and the version from its
+// cache file, but no lease.
 func TestNodeStartsFromDataOfEarlierBuild(t *testing.T) {
 	for _, f := range earlierFixtures {
 		for _, daemon := range slices.Sorted(maps.Keys(earlierDiskIDs)) {
@@ -274,7 +274,7 @@
 			if version := c.put(1, "the next", "of this build"); version != f.version+1 {
 				t.Errorf("the next version is %d, want %d", version, f.version+1)
 			}
-			c.waitAllActing(f.version+1, "of this build")
+			c.waitUntilAllNodesActOn(f.version+1, "of this build")
 		})
 	}
 }
--- a/internal/cluster/raftnode/identity.go
+++ b/internal/cluster/raftnode/identity.go
@@ -12,7 +12,7 @@
 
 const (
 	identityFile     = "IDENTITY" // name of the file that holds a voter's identity
-	maxIdentityBytes = 4096       // greatest number of bytes that are read of an identity file, which has about 500 with seven names
+	maxIdentityBytes = 4096       // greatest number of bytes that are read of an identity file; a file with the names of seven voters has about 500
 )
 
 // identity says which voter of which cluster owns a data directory. It is stored in a file (identityFile) beside the
--- a/internal/cluster/raftnode/leaseclient.go
+++ b/internal/cluster/raftnode/leaseclient.go
@@ -17,7 +17,7 @@
 	activeVoters           []string      // names of the daemons that vote, as a leader last reported them
 	leader                 string        // name of the voter taken for the leader: the sender of the latest grant or, if it left a request unanswered since, the voter that was asked next
 	isLatestRequestGranted bool          // whether a grant has answered the latest lease request
-	hasFirstGrant          bool          // whether a grant with an active version on which this daemon acts has arrived since Start; Node.firstGrant is then closed
+	hasFirstGrant          bool          // whether, since Start, a grant has named as active the version on which this daemon acts; Node.firstGrant is then closed
 	checkingVersion        uint64        // version for which Options.Check is running; 0: none
 }
 
@@ -137,7 +137,7 @@
 	c.knownVoters = sortedUnion(names, initialVoters)
 }
 
-// addVoters adds names to the known voters, unless there would be more than maxKnownVoters.
+// addVoters adds names to the known voters. It adds none of the names if there would then be more than maxKnownVoters.
 func (c *leaseClient) addVoters(names []string) {
 	if all := sortedUnion(names, c.knownVoters); len(all) <= maxKnownVoters {
 		c.knownVoters = all
--- a/internal/cluster/raftnode/leaseclient_test.go
+++ b/internal/cluster/raftnode/leaseclient_test.go
@@ -14,7 +14,8 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// A daemon that can't act on a version reports the reason to the leader, and loses its lease if the version is forced.
+// A daemon that can't act on a version reports the reason to the leader, and loses its lease if operators force the
+// version to be activated.
 func TestRejectedVersionIsReportedAndForceEndsTheLease(t *testing.T) {
 	start := func(name string, check func(map[string]consensus.Document) error, join ...netip.AddrPort) (*Node, *transport.Transport) {
 		t.Helper()
@@ -46,14 +47,14 @@
 		}
 		return v
 	}
-	waitActing := func(n *Node, version uint64) {
+	waitUntilNodeActsOn := func(n *Node, version uint64) {
 		t.Helper()
 		testpeer.Eventually(t, fmt.Sprint("the node acts on version ", version), func() bool {
 			leased, ok := n.Valid()
 			return ok && leased.Version == version
 		})
 	}
-	waitActing(rejectingNode, put("good"))
+	waitUntilNodeActsOn(rejectingNode, put("good"))
 	badVersion := put("bad")
 	testpeer.Eventually(t, "both daemons report why the version is rejected", func() bool {
 		leaderStatus, rejectingStatus := voterNode.Status(), rejectingNode.Status()
@@ -64,10 +65,10 @@
 	if _, err := rejectingNode.Propose(t.Context(), consensus.Command{ForceVersion: badVersion}); err != nil {
 		t.Fatal(err)
 	}
-	waitActing(voterNode, badVersion)
+	waitUntilNodeActsOn(voterNode, badVersion)
 	testpeer.Eventually(t, "the daemon that rejects the forced version has no lease", func() bool { _, ok := rejectingNode.Valid(); return !ok })
 	goodVersion := put("better")
-	waitActing(rejectingNode, goodVersion)
+	waitUntilNodeActsOn(rejectingNode, goodVersion)
 	testpeer.Eventually(t, "both daemons report that all act on the latest version", func() bool {
 		return rejectingNode.Status().OldestActiveVersion == goodVersion && voterNode.Status().OldestActiveVersion == goodVersion
 	})
--- a/internal/cluster/raftnode/localvoter.go
+++ b/internal/cluster/raftnode/localvoter.go
@@ -25,8 +25,9 @@
 	peerNames map[uint64]string // names, by raft id, of voters that have sent messages and that the replicated State does not name yet
 }
 
-// errVoterDiskLost is why a daemon with a voter slot does not vote. The votes and entries that its voter acknowledged
-// were on a disk that is gone; a voter without them could vote twice in a term, or lose committed entries.
+// errVoterDiskLost tells operators that a daemon does not vote, although it has a voter slot, because the disk of its
+// voter is gone. The disk had the votes and entries that the voter acknowledged; without them, the voter could vote
+// twice in a term, or lose committed entries.
 var errVoterDiskLost = errors.New("the disk to which its voter slot is bound is gone; " +
 	"remove this daemon from the voters and then add it again")
 
--- a/internal/cluster/raftnode/localvoter_test.go
+++ b/internal/cluster/raftnode/localvoter_test.go
@@ -12,8 +12,8 @@
 	"tuliprock/internal/testkit/testpeer"
 )
 
-// A daemon does not start on the disk of another daemon's voter, and starts no voter on a disk that has a log but no
-// identity. The cases run in order, on one disk.
+// Start returns an error on a disk that has the identity of another daemon's voter. On a disk that has a log but no
+// identity, the daemon starts but runs no voter. The cases run in order, on one disk.
 func TestDiskOfAnotherVoterIsRejected(t *testing.T) {
 	d := simdisk.New()
 	d.SetBytes("IDENTITY.new", []byte("a o"))
@@ -78,7 +78,7 @@
 // so does the voter's daemon, even if raft detects that entries are missing and stops the voter.
 func TestVoterWithAnOlderDiskDoesNotStopTheCluster(t *testing.T) {
 	c := newTestCluster(t, 4)
-	c.waitAllActing(c.put(0, "a", "one"), "one")
+	c.waitUntilAllNodesActOn(c.put(0, "a", "one"), "one")
 	c.nodes[1].Close()
 	olderFiles := map[string][]byte{}
 	names, err := c.disks[1].List()
@@ -95,7 +95,7 @@
 	for i := range 5 {
 		lastVersion = c.put(1, fmt.Sprint("b", i), fmt.Sprint(i))
 	}
-	c.waitAllActing(lastVersion, "4")
+	c.waitUntilAllNodesActOn(lastVersion, "4")
 	c.nodes[1].Close()
 	newerFileNames, _ := c.disks[1].List()
 	for _, name := range newerFileNames {
@@ -107,7 +107,7 @@
 		c.disks[1].SetBytes(name, text)
 	}
 	c.start(1)
-	c.waitAllActing(c.put(2, "c", "five"), "five") // must succeed whether or not raft has stopped the voter on the older disk
+	c.waitUntilAllNodesActOn(c.put(2, "c", "five"), "five") // must succeed whether or not raft has stopped the voter on the older disk
 }
 
 // The initial voters are replaced one by one, including the leader, and the new voters have everything that the initial
@@ -115,7 +115,7 @@
 // as a new voter.
 func TestVotersAreReplacedOneByOne(t *testing.T) {
 	c := newTestCluster(t, 6)
-	c.waitAllActing(c.put(0, "a", "one"), "one")
+	c.waitUntilAllNodesActOn(c.put(0, "a", "one"), "one")
 	for i := range 3 { // s3, s4 and s5 replace s0, s1 and s2
 		added, removed := []string{"s3", "s4", "s5"}[i], []string{"s0", "s1", "s2"}[i]
 		c.changeVotersWithRetry(5, added, false)
@@ -123,19 +123,19 @@
 		c.changeVotersWithRetry(4, removed, true)
 		c.waitIsVoter(i, false)
 	}
-	c.waitAllActing(c.put(0, "b", "two"), "two")
+	c.waitUntilAllNodesActOn(c.put(0, "b", "two"), "two")
 	c.nodes[4].Close()
 	c.start(4)
 	c.waitIsVoter(4, true)
 	c.nodes[5].Close()
-	c.waitActing(c.nodes[:5], c.put(3, "c", "three"), "three")
+	c.waitUntilNodesActOn(c.nodes[:5], c.put(3, "c", "three"), "three")
 
 	c.changeVotersWithRetry(3, "s5", true)
 	c.disks[5] = simdisk.New() // the disk of s5 is lost
 	c.start(5)
 	c.changeVotersWithRetry(3, "s5", false)
 	c.waitIsVoter(5, true)
-	c.waitAllActing(c.put(5, "d", "four"), "four")
+	c.waitUntilAllNodesActOn(c.put(5, "d", "four"), "four")
 	testpeer.Eventually(t, "all nodes report s3, s4 and s5 as active voters", func() bool {
 		return !slices.ContainsFunc(c.nodes, func(n *Node) bool {
 			return strings.Join(n.Status().ActiveVoters, " ") != "s3 s4 s5"
@@ -147,7 +147,7 @@
 // all daemons name it as a voter. It votes after it was removed from the voters and added again.
 func TestInitialVoterWithLostDiskVotesAfterReadmission(t *testing.T) {
 	c := newTestCluster(t, 4)
-	c.waitAllActing(c.put(0, "a", "one"), "one")
+	c.waitUntilAllNodesActOn(c.put(0, "a", "one"), "one")
 	c.nodes[1].Close()
 	c.disks[1] = simdisk.New()
 	c.start(1)
@@ -156,7 +156,7 @@
 		c.nodes[1].submit(t.Context(), func() { isDiskLost <- c.nodes[1].isDiskLossLogged && c.nodes[1].bootstrap == nil })
 		return <-isDiskLost
 	})
-	c.waitAllActing(c.put(1, "b", "two"), "two")
+	c.waitUntilAllNodesActOn(c.put(1, "b", "two"), "two")
 	if c.nodes[1].Status().IsVoter {
 		t.Error("s1 votes though its disk was lost")
 	}
@@ -167,7 +167,7 @@
 	c.start(1)
 	c.waitIsVoter(1, true)
 	c.nodes[2].Close() // s0, s1 and s2 are the voters: only with the vote of s1 is there a majority now
-	c.waitActing(append(c.nodes[:2:2], c.nodes[3]), c.put(3, "c", "three"), "three")
+	c.waitUntilNodesActOn(append(c.nodes[:2:2], c.nodes[3]), c.put(3, "c", "three"), "three")
 }
 
 // A change of the voters is rejected while another change is in progress. A voter whose daemon never starts can be
@@ -186,5 +186,5 @@
 	}
 	c.changeVotersWithRetry(2, "s3", false)
 	c.waitIsVoter(3, true)
-	c.waitAllActing(c.put(3, "b", "two"), "two")
+	c.waitUntilAllNodesActOn(c.put(3, "b", "two"), "two")
 }
--- a/internal/cluster/raftnode/node.go
+++ b/internal/cluster/raftnode/node.go
@@ -60,9 +60,9 @@
 	Now func() time.Duration
 	// Log gets log messages for operators.
 	Log *slog.Logger
-	// Check returns an error if this daemon can't act on the documents of a version. If Check is nil, the daemon can act
-	// on all versions. Start calls Check for the cached version; later calls are made on a separate goroutine, one at a
-	// time.
+	// Check returns an error if this daemon can't act on the documents of a version. If Check is nil, the daemon can
+	// act on all versions. Start calls Check for the version in the cache file on Disk; later calls are made on a
+	// separate goroutine, one at a time.
 	Check func(docs map[string]consensus.Document) error
 	// ReportsInstalled means that the daemon calls MarkInstalled for each version that it has installed. Otherwise a
 	// version counts as installed as soon as it is leased.
@@ -74,7 +74,7 @@
 	options        Options
 	leased         atomic.Pointer[consensus.LeasedVersion] // version on which the daemon may act; read by all goroutines
 	status         atomic.Pointer[Status]                  // status after the latest pass of the event loop; read by all goroutines
-	firstGrant     chan struct{}                           // closed at the first grant on whose active version this daemon can act
+	firstGrant     chan struct{}                           // closed when a grant first names as active the version on which this daemon acts
 	versionChanged chan struct{}                           // holds a value if the leased version has changed since the last receive
 	submittedCalls chan func()                             // functions that other goroutines pass to the event loop, which runs them
 	ctx            context.Context                         // canceled by Close
@@ -131,8 +131,8 @@
 }
 
 // Valid returns the version on which this daemon acts, which the caller must not modify, and whether the lease on that
-// version is valid now. The lease is not valid before the first grant and after it has expired. The caller must bound the
-// time between the call and the last action under the lease. Valid takes no lock.
+// version is valid now. The lease is not valid before the first grant, and not after the lease has expired. The caller
+// must bound the time between its call of Valid and its last action under the lease. Valid takes no lock.
 func (n *Node) Valid() (*consensus.LeasedVersion, bool) {
 	leased := n.leased.Load()
 	return leased, leased.Version > 0 && n.options.Now() < leased.ExpiresAt
@@ -144,7 +144,8 @@
 	return n.leased.Load().CoversVersion(version, n.options.Now())
 }
 
-// LeaseRemaining returns the time until the lease on the version that Valid returns expires, or 0 if it has expired.
+// LeaseRemaining returns how much longer the lease is valid on the version that Valid returns, or 0 if the lease has
+// expired.
 func (n *Node) LeaseRemaining() time.Duration {
 	return max(n.leased.Load().ExpiresAt-n.options.Now(), 0)
 }
@@ -159,8 +160,8 @@
 // version. It must be called when something changes on which the result of Options.Check depends.
 func (n *Node) Recheck() { n.submit(n.ctx, func() { n.leaseClient.holder.Recheck() }) }
 
-// FirstGrant returns a channel that is closed at the first grant since Start that this daemon can act on. From then on
-// Valid returns the cluster's active version, if there is one.
+// FirstGrant returns a channel that is closed when, for the first time since Start, a grant names as active the version
+// on which this daemon acts. From then on Valid returns the cluster's active version, if there is one.
 func (n *Node) FirstGrant() <-chan struct{} { return n.firstGrant }
 
 // VersionChanged returns a channel that gets a value when Valid returns another version than before. Changes are merged into
--- a/internal/cluster/raftnode/node_test.go
+++ b/internal/cluster/raftnode/node_test.go
@@ -21,12 +21,12 @@
 func TestProposalsAreCommittedThroughVoterFailures(t *testing.T) {
 	c := newTestCluster(t, 5)
 	firstVersion := c.put(0, "a", "one")
-	c.waitAllActing(firstVersion, "one")
+	c.waitUntilAllNodesActOn(firstVersion, "one")
 	if duplicateVersion := c.put(4, "a", "one"); duplicateVersion != firstVersion {
 		t.Errorf("a duplicate of the command returns version %d, want %d", duplicateVersion, firstVersion)
 	}
 	secondVersion := c.put(4, "b", "two") // must succeed though s4 does not vote
-	c.waitAllActing(secondVersion, "two")
+	c.waitUntilAllNodesActOn(secondVersion, "two")
 	outdatedVersion := firstVersion
 	removal := consensus.Command{ExpectedVersion: &outdatedVersion, Remove: testDocument}
 	if _, err := c.nodes[3].ProposeVersion(t.Context(), removal); err == nil || errors.Is(err, consensus.ErrIndeterminate) {
@@ -37,14 +37,14 @@
 	c.disks[0].Crash(rand.New(rand.NewPCG(1, 1)))
 	c.start(0)
 	thirdVersion := c.put(0, "c", "three")
-	c.waitAllActing(thirdVersion, "three")
+	c.waitUntilAllNodesActOn(thirdVersion, "three")
 	if thirdVersion != secondVersion+1 {
 		t.Errorf("the next version is %d, want %d", thirdVersion, secondVersion+1)
 	}
 
 	c.disks[1].InjectFailure(0)
 	fourthVersion := c.put(2, "d", "four")
-	c.waitAllActing(fourthVersion, "four")
+	c.waitUntilAllNodesActOn(fourthVersion, "four")
 	testpeer.Eventually(t, "the voter whose disk has failed stops", func() bool { return !c.nodes[1].Status().IsVoter })
 
 	abort(t, c.transports[2]) // of the three voters s0, s1 and s2, only s0 is left
--- a/internal/cluster/raftnode/proposals.go
+++ b/internal/cluster/raftnode/proposals.go
@@ -20,8 +20,9 @@
 	maxPendingProposals     = 64
 	maxPendingProposalBytes = 8 << 20
 
-	// initialRetryBackoff is the time between the first two attempts of a command. The time doubles with each attempt up
-	// to maxRetryBackoff, since with every attempt all voters may write another copy of a long command.
+	// initialRetryBackoff is the time between the first two attempts to propose a command to raft or to forward it to
+	// the leader. The time doubles with each attempt up to maxRetryBackoff, since with every attempt all voters may
+	// write another copy of a long command.
 	initialRetryBackoff = time.Second
 	maxRetryBackoff     = orphanRetention
 
@@ -120,8 +121,9 @@
 	return true
 }
 
-// handleProposal handles a command that another daemon forwarded to this node's voter. A command that exceeds the bounds
-// of the held commands is dropped, and the other daemon retries.
+// handleProposal handles a command that another daemon forwarded to this node's voter. If the node already holds as
+// many commands as maxPendingProposals and maxPendingProposalBytes allow, a new command is dropped, and the other
+// daemon retries.
 func (n *Node) handleProposal(now time.Duration, m transport.Message) {
 	var cmd struct {
 		ID string `json:"id"`
@@ -173,7 +175,8 @@
 	p.backoff = min(2*p.backoff, maxRetryBackoff)
 }
 
-// handleProposalResult handles the result of a command from a voter to which this node forwarded the command.
+// handleProposalResult completes a proposal that this node forwarded to a voter, with the result that the voter sent. A
+// result from a daemon that is no known voter is dropped.
 func (n *Node) handleProposalResult(m transport.Message) {
 	var r proposalResult
 	if json.Unmarshal(m.Body, &r) == nil && slices.Contains(n.leaseClient.knownVoters, m.From) {
--- a/internal/cluster/raftnode/status.go
+++ b/internal/cluster/raftnode/status.go
@@ -17,7 +17,7 @@
 	AppliedVersion      uint64                    // latest version that this daemon's voter has applied; 0: none, or the daemon runs no voter
 	PendingVersion      uint64                    // version to be activated next, as far as this daemon's voter knows; 0: none, or it runs no voter
 	OldestActiveVersion uint64                    // oldest version on which a daemon may still act; 0: not known
-	Lagging             []consensus.LaggingDaemon // daemons that delay an activation, or do not act on the active version yet
+	Lagging             []consensus.LaggingDaemon // daemons that delay the activation of the pending version, or do not act on the active version yet
 	RejectedVersion     uint64                    // latest version on which this daemon can't act; 0: none
 	RejectionReason     string                    // why this daemon can't act on RejectedVersion
 }
--- a/internal/cluster/raftnode/versioncache.go
+++ b/internal/cluster/raftnode/versioncache.go
@@ -16,7 +16,7 @@
 	cacheFile = "ACTED"
 
 	checksumLineSize = 2*sha256.Size + 1             // length of the cache file's checksum line in bytes: hexadecimal digits and a newline
-	maxCacheBytes    = 2 * consensus.MaxVersionBytes // greatest size of the cache file in bytes: more than the bodies take in base64, so that the names fit in too
+	maxCacheBytes    = 2 * consensus.MaxVersionBytes // greatest size of the cache file in bytes: the documents' bodies, in base64, take at most about two thirds of it, so the names of documents and voters fit in too
 )
 
 // cacheEntry is the version and the voters that the cache file holds. Its JSON names are stored and must not change.
--- a/internal/cluster/raftnode/voterio.go
+++ b/internal/cluster/raftnode/voterio.go
@@ -11,9 +11,9 @@
 	"tuliprock/internal/cluster/transport"
 )
 
-// maxPeerNames bounds the names in localVoter.peerNames, which are taken from messages of voters. As raft ids are never
-// assigned twice, a voter may receive messages of more than maxPeerNames unknown ids only if its log is far behind; the
-// voter then receives the log from the voters whose names it knows.
+// maxPeerNames bounds the names in localVoter.peerNames, which come from messages of voters that the replicated State
+// does not name. As raft ids are never assigned twice, more than maxPeerNames such voters can send messages only if
+// this voter's log is far behind; this voter then receives the log from the voters whose names it knows.
 const maxPeerNames = 64
 
 // peerName returns the name of the voter with the given raft id, or an empty string if the name is not known.
@@ -24,8 +24,8 @@
 	return v.peerNames[id]
 }
 
-// handleRaft passes a raft message to this node's voter, if the message names the voter of the sending daemon as its
-// sender.
+// handleRaft passes a raft message to this node's voter. It drops a message for another voter or another cluster, and a
+// message whose sender, by its raft id, is the voter of a daemon other than the one that sent the message.
 func (n *Node) handleRaft(now time.Duration, m transport.Message) {
 	message := &raftpb.Message{}
 	if len(m.Body) < clusterIDSize || proto.Unmarshal(m.Body[clusterIDSize:], message) != nil {
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// sendRaft sends a raft message to its recipient. raft is notified whether a snapshot was sent, and resends all other
-// messages without a notification.
+// sendRaft sends a raft message to its recipient. It reports to raft whether a snapshot was sent; raft needs no such
+// report for other messages, since it resends them without being told that they were lost.
 func (n *Node) sendRaft(message *raftpb.Message) {
 	name := n.localVoter.peerName(message.GetTo())
 	if name == "" {
