--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -34,8 +34,8 @@
 	MaxStreamDuration time.Duration `toml:"flow_most"`      // how long a body may stream, in each direction
 	DeadlineScope     string        `toml:"deadline_rules"` // part of a request that its deadline covers: "waits" or "all"
 
-	// ForbidsBody is whether requests with a body are rejected. It is set only in classes from the platform's configuration: the
-	// platform requires it for idempotent requests, whose method is GET.
+	// ForbidsBody is whether requests with a body are rejected. It is set only for the classes of idempotent requests in the platform's
+	// configuration, since the platform requires these to be GET requests without a body.
 	ForbidsBody bool
 }
 
@@ -76,7 +76,8 @@
 // dedupScopes maps the values of the field group in an operators' file to constants of package balance.
 var dedupScopes = map[string]balance.DedupScope{"all": balance.ScopeAll, "zone": balance.ScopeZone, "cell": balance.ScopeCell}
 
-// Values of the fields effect and group that this package compares with or sets. IdempotencyByName and dedupScopes have all values.
+// The values of the fields effect and group that the checks and defaults of a Class use. IdempotencyByName and dedupScopes have all
+// values of these fields.
 const (
 	idempotencyKeyed = "keyed"
 	dedupScopeAll    = "all"
@@ -151,7 +152,7 @@
 // Tenant is a section [[tenant]] of an operators' file: a user of the pools with a quota of their capacity.
 type Tenant struct {
 	Name  string  `toml:"name"`
-	Quota float64 `toml:"quota"` // requests per second, summed over all daemons
+	Quota float64 `toml:"quota"` // requests per second that the tenant may send to all daemons together
 }
 
 func (f *File) checkTenants(tomlFile *tomlfile.File) error {
--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -21,7 +21,7 @@
 	KeyFile     string   `toml:"key_file"`  // path of the shared key that authenticates messages; required unless Listen is a loopback address
 	Voters      []string `toml:"voters"`    // names of the daemons that vote in consensus: an odd number, or none
 
-	ProbeInterval    time.Duration `toml:"probe_every"`   // time between two probes of peers
+	ProbeInterval    time.Duration `toml:"probe_every"`   // time between two probes, each of which this daemon sends to one peer
 	ProbeTimeout     time.Duration `toml:"probe_timeout"` // time limit for the response to a probe
 	SuspicionTimeout time.Duration `toml:"suspicion"`     // how long a peer is suspected before it counts as failed
 
--- a/internal/config/cluster_spec.go
+++ b/internal/config/cluster_spec.go
@@ -55,8 +55,8 @@
 	return spec
 }
 
-// leaseConfig returns the settings of leases. It makes leases so short while a version is pending that no two daemons act on
-// contradicting versions for longer than MaxConflictDuration.
+// leaseConfig returns the settings of leases. While a new version of the settings is pending (agreed on, but not active yet), leases
+// are so short that no two daemons act on contradicting versions for longer than MaxConflictDuration.
 func (c *Cluster) leaseConfig() consensus.LeaseConfig {
 	// pendingLeaseDuration is the duration of a lease while a version is pending: the time that a clock measures while
 	// MaxConflictDuration passes, if the clock is slow by MaxClockDrift.
--- a/internal/config/daemon.go
+++ b/internal/config/daemon.go
@@ -14,7 +14,7 @@
 	defaultDrainTimeout = 30 * time.Second
 
 	maxDaemons      = 100_000
-	maxBodyMemoryMB = 1 << 20 // in MiB: 1 TiB
+	maxBodyMemoryMB = 1 << 20 // upper bound of Daemon.BodyMemoryMB: 1 TiB, written in MiB
 	maxDrainTimeout = time.Hour
 )
 
@@ -29,7 +29,7 @@
 
 	AdminAddr string `toml:"admin_addr"` // host:port to listen on for operators' commands; empty for none
 
-	BodyMemoryMB int           `toml:"body_memory_mb"` // memory budget in MiB for request bodies and for all streaming bodies
+	BodyMemoryMB int           `toml:"body_memory_mb"` // memory budget in MiB for all request bodies and for streaming response bodies
 	DrainTimeout time.Duration `toml:"drain_timeout"`  // time from SIGTERM until bodies that are still streaming are aborted
 }
 
--- a/internal/config/documents.go
+++ b/internal/config/documents.go
@@ -55,8 +55,8 @@
 }
 
 // checkWithLocalSections checks a text before its local sections are removed, so that errors have the line numbers of the
-// original text. Of a text that has neither a listener nor the section [fleet], and so is not a complete file, it checks only the syntax
-// and the names and types of fields.
+// original text. A text with a listener or the section [fleet] is checked as a complete file. A text with neither cannot be a complete
+// file, so only its syntax and the names and types of its fields are checked.
 func checkWithLocalSections(name string, text []byte) error {
 	f := &File{}
 	if _, err := tomlfile.Decode(name, text, f); err != nil {
@@ -65,7 +65,8 @@
 	if len(f.Listener) == 0 && f.Cluster == nil {
 		return nil
 	}
-	// The shared part may have settings that need consensus, even if the local sections of this text configure no consensus.
+	// assumeConsensus accepts everything: the shared part may have settings that need consensus, even if the local sections of this
+	// text configure no consensus.
 	assumeConsensus := func(*File, *tomlfile.File) error { return nil }
 	_, err := parse(name, text, assumeConsensus)
 	return err
--- a/internal/config/documents_test.go
+++ b/internal/config/documents_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// A shared document that was extracted from one daemon's file applies to another daemon, which keeps its local sections.
+// A daemon applies a shared document that was extracted from another daemon's file, and keeps the local sections of its own file.
 func TestAgreedDocumentsReplaceSharedPartAndMembers(t *testing.T) {
 	shared, _, err := ExtractShared("f.toml", []byte("format = 1\n"+localPart+sharedPart))
 	if err != nil {
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -29,7 +29,7 @@
 
 	table              *route.Table        // routes compiled from the sections [[route]], in the order of the file
 	sharesByMembership bool                // the cluster's membership determines daemon.daemons and daemon.index
-	agreedMembers      map[string][]Member // agreed lists for pools with members = "agreed", by the pool's name
+	agreedMembers      map[string][]Member // member lists that the cluster agreed on, for pools with members = "agreed", by the pool's name
 }
 
 // Read reads and checks an operators' file. If the file can't be read, the error is that of os.ReadFile; an error in its
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// Table returns the file's compiled routes. A rule has the same index in the table as its section has in Route.
+// Table returns the file's compiled routes. Each rule of the table has the same index as the section [[route]] that it is compiled from.
 func (f *File) Table() *route.Table { return f.table }
 
 // applyDefaults sets the default values of fields that the file leaves out, except in the section [fleet]. A zero that is
@@ -110,7 +110,7 @@
 	}
 }
 
-// setIfEmpty sets a string to its default if it is empty, which it also is if the file leaves out the field.
+// setIfEmpty sets a string to its default if it is empty. A field that the file leaves out is empty, too.
 func setIfEmpty(value *string, fallback string) { *value = cmp.Or(*value, fallback) }
 
 // uniqueNames is the set of names used so far in a list whose names must be unique.
--- a/internal/config/file_service.go
+++ b/internal/config/file_service.go
@@ -12,7 +12,8 @@
 // fixed, since an operators' file sets no limit on file descriptors from which the number could be computed.
 const fileMaxOperatorConnections = 32
 
-// maxTimerDelay is how late events and timers may arrive at the balancer: the delay of a timer on an ordinary, busy machine.
+// maxTimerDelay is the longest delay with which events and timers are expected to arrive at the balancer. On an ordinary machine that is
+// busy, timers are late by up to this time.
 const maxTimerDelay = 5 * time.Millisecond
 
 // Service converts the file to a Service, which shares the file's slices and classes.
--- a/internal/config/listener.go
+++ b/internal/config/listener.go
@@ -28,8 +28,9 @@
 
 	Descriptor int `toml:"-"` // descriptor of a listening socket inherited from the platform; 0 to open a socket
 
-	// UsesRawTargets is whether request targets are matched and forwarded without normalization. Of an endpoint's response headers only
-	// Content-Type is then forwarded. The field is set only in the listener from the platform's configuration: the platform requires it.
+	// UsesRawTargets is whether request targets are matched and forwarded without normalization. If it is set, Content-Type is the only
+	// header of an endpoint's response that is forwarded to the client. It is set only in the listener from the platform's
+	// configuration: the platform requires it.
 	UsesRawTargets bool
 }
 
@@ -47,7 +48,7 @@
 )
 
 // Defaults for streaming bodies. The idle timeout is enough for a peer to retransmit lost segments several times (RFC 6298
-// starts with 1 s and doubles it); the rate is below that of the slowest links in use (GPRS, about 20 kbit/s).
+// starts with 1 s and doubles it). The minimum rate of a body is below the rate of the slowest links in use (GPRS, about 20 kbit/s).
 const (
 	defaultStreamIdleTimeout = 10 * time.Second
 	defaultMinStreamRate     = 1 << 10 // bytes per second, for a peer that sends or receives a body
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -26,7 +26,7 @@
 	ListenDescriptor int    // descriptor of an inherited listening socket, which other processes may share; 0 to open a socket
 	SharedDir        string // directory shared by all processes of the sidecar; empty for none
 
-	Settings simwire.Settings // settings of the balancer, timeouts and the random seed
+	Settings simwire.Settings // balancer's settings, including its random seed, and the timeouts of connections and clients
 }
 
 // Limits are the resources that a sidecar may use.
@@ -45,8 +45,9 @@
 	minSockets      = 64
 )
 
-// platformFile is the contents of the platform's file. Names of JSON keys are matched case-insensitively. The type is an alias of an
-// unnamed struct, and most fields have no tag, because encoding/json quotes the names of types and fields in errors.
+// platformFile is the contents of the platform's file. Names of JSON keys are matched case-insensitively. Errors of encoding/json quote
+// the names of types and fields. So the type is an alias of an unnamed struct, which adds no type name to the errors, and most fields
+// have no tag, so that errors have their Go names.
 type platformFile = struct {
 	Name, Listen, Discovery string
 	Seed                    string // random seed of 64 bits, in hexadecimal
--- a/internal/config/platform_service.go
+++ b/internal/config/platform_service.go
@@ -23,8 +23,8 @@
 	platformStreamIdleTimeout = 5 * time.Second         // how long a peer may send nothing, or be slower than its minimum rate
 	platformMaxStreamDuration = 10 * time.Minute        // longest time that a body may stream: 32 MB at 64 kB per second take 8.5 minutes
 
-	// platformBodyMemoryDivisor is the number by which the memory limit is divided for the memory budget of bodies. The budget is
-	// small because two processes share the limit during a hot restart.
+	// platformBodyMemoryDivisor is the ratio of a sidecar's memory limit to its memory budget for bodies. The budget is small because two
+	// processes share the memory limit during a hot restart.
 	platformBodyMemoryDivisor = 8
 )
 
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// replaceOnce replaces the first occurrence of a part of text. It fails the test if that changes nothing.
+// replaceOnce replaces the first occurrence of from in text. It fails the test if the text stays the same.
 func replaceOnce(t *testing.T, text, from, to string) string {
 	t.Helper()
 	changed := strings.Replace(text, from, to, 1)
--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -26,9 +26,9 @@
 	TiersBelow    int           `toml:"tiers_below"`      // number of tiers that the endpoints depend on to serve a request
 	MaxRetryAfter time.Duration `toml:"retry_after_most"` // longest Retry-After that is sent to a client
 
-	StartAt           string        `toml:"begins"`       // when an endpoint may start on a request: "head" or "last_byte"
+	StartAt           string        `toml:"begins"`       // what of a request must have arrived before an endpoint may start on it: "head" or "last_byte"
 	MaxResponseBytes  int64         `toml:"answer_bytes"` // maximum size in bytes of a response body; 0 for no limit
-	StreamIdleTimeout time.Duration `toml:"flow_idle"`    // longest time that an endpoint may transfer no byte while a body streams
+	StreamIdleTimeout time.Duration `toml:"flow_idle"`    // longest time for which an endpoint may neither send nor receive a byte of a streaming body
 	MinStreamRate     int64         `toml:"flow_rate"`    // minimum rate of an endpoint's streaming body in bytes per second; 0 for no minimum
 
 	Member        []Member `toml:"member"`  // fixed list of endpoints
@@ -61,7 +61,7 @@
 	State   string `toml:"state"` // whether the endpoint takes new requests: "ready" or "draining"
 }
 
-// Values of the field begins: when an endpoint may start on a request.
+// Values of the field begins: what of a request must have arrived before an endpoint may start on it.
 const (
 	startAtHead     = "head"      // an endpoint may start as soon as it has the request's head
 	startAtLastByte = "last_byte" // an endpoint starts only once it has the complete request
--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -9,8 +9,8 @@
 	"tuliprock/internal/tomlfile"
 )
 
-// maxRoutes is the maximum number of routes in a file. Lookups stay fast, since they use an
-// index by host and path instead of scanning all routes. BenchmarkMatch in package route measures tables of up to 10,000 routes.
+// maxRoutes is the maximum number of routes in a file. The route of a request is found fast even among that many, by an index by host
+// and path instead of a scan of all routes. BenchmarkMatch in package route measures tables of up to 10,000 routes.
 const maxRoutes = 100_000
 
 // Route is a section [[route]] of an operators' file: it sends the requests that match all of its conditions to a pool, as requests
@@ -46,7 +46,7 @@
 // parameter must be present.
 type Condition struct {
 	Name   string `toml:"name"`
-	Equal  string `toml:"equal"`  // required value; an empty string is required only if the file has the field
+	Equal  string `toml:"equal"`  // required value of the header or query parameter; "" requires an empty value if the file has this field, and nothing if the file leaves it out
 	Prefix string `toml:"prefix"` // required prefix of the header's or query parameter's value; empty for none
 	Absent bool   `toml:"absent"` // the request must not have a header or query parameter of this Name
 }
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -45,9 +45,10 @@
 	// at most.
 	BufferedResponseTimeout time.Duration
 
-	// DialsRatherThanWaits is whether a request dials a new connection, within the limit Connections, if each idle connection to its
+	// DialsRatherThanWaits is whether a request dials a new connection, within the limit MaxConnections, if each idle connection to its
 	// endpoint received a response only a few milliseconds ago. Such a connection may not be reused yet, since a duplicate of that response
-	// could be taken for the next one. If DialsRatherThanWaits is false, the request waits until a connection may be reused.
+	// could be taken for the response to the next request. If DialsRatherThanWaits is false, the request waits until a connection may be
+	// reused.
 	DialsRatherThanWaits bool
 	// AcceptsOnlyStatusOK is whether every response with a status other than 200 counts as a failed attempt, which the platform
 	// requires.
@@ -70,7 +71,7 @@
 
 // Target says where the requests that match a rule of the routing table are sent, and how they are rewritten.
 type Target struct {
-	Pool, Tenant              string // names of the pool that serves the requests, and of the tenant of requests that name none
+	Pool, Tenant              string // name of the pool that serves the requests; name of the tenant to which requests without a tenant's name belong
 	Class                     *Class
 	PathPrefix, ReplacePrefix string // prefix of the path and its replacement; the prefix stays if the replacement is empty
 	SetHeaders                []HeaderValue
@@ -106,8 +107,8 @@
 	return total
 }
 
-// ConnectionsWithin returns the maximum number of client connections under a limit on descriptors, which is also the maximum number
-// of connections to endpoints.
+// ConnectionsWithin returns the maximum number of client connections for a limit on file descriptors. The maximum number of connections
+// to endpoints is the same.
 func (s *Service) ConnectionsWithin(descriptors int) int {
 	return max((descriptors-s.ReservedDescriptors()-SpareConnections)/2, minConnections)
 }
--- a/internal/discovery/agent.go
+++ b/internal/discovery/agent.go
@@ -100,9 +100,9 @@
 }
 
 // keepWatching opens one watch after the other at the current agent until ctx ends. watchRequested is whether the first watch need not
-// wait for Subscribe. It returns whether ctx ended during a watch: that watch had been requested, so Run must open it again without
-// waiting for Subscribe. When a watch breaks, the receiver keeps its list, and the next watch begins with the changes after the version
-// of that list.
+// wait for Subscribe. It returns whether ctx ended during a watch. If so, and the cause was SwitchAgent, Run opens a watch at the new agent
+// without waiting for Subscribe, since the watch that ended had been requested. When a watch breaks, the receiver keeps its list, and the
+// next watch begins with the changes after the version of that list.
 func (c *AgentClient) keepWatching(ctx context.Context, watchRequested bool) bool {
 	backoff := minBackoff
 	for {
@@ -126,7 +126,7 @@
 		if backoff = min(2*backoff, maxBackoff); hasReceived || !errors.Is(err, errMalformedMessage) {
 			backoff = minBackoff
 		}
-		sleep(ctx, time.Duration(float64(backoff)*(0.5+rand.Float64()))) // jitter, since all sidecars lose their watch at the same time
+		sleep(ctx, time.Duration(float64(backoff)*(0.5+rand.Float64()))) // jitter, since the watches of all sidecars end at the same time when their agent fails
 	}
 }
 
--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -36,7 +36,8 @@
 	return f
 }
 
-// serveScript starts an agent that responds to each request with the next step, and sends nothing once all steps are used up.
+// serveScript starts an agent that responds to each request with the next of the response bodies in steps, and sends nothing once all of
+// them are used up.
 func serveScript(t *testing.T, steps ...string) (addr string, queries chan string) {
 	t.Helper()
 	agent := &testpeer.ScriptedAgent{Responses: steps, Queries: make(chan string, 100)}
@@ -173,7 +174,7 @@
 	<-watched
 }
 
-// The complete list must arrive within 4 s of a switch, even if the first request gets no response.
+// The complete list must arrive within 4 s of a switch to another agent, even if the first request gets no response.
 func TestUnansweredRequestIsRetried(t *testing.T) {
 	f := startClient(t, 41, func(c *AgentClient) { c.firstByteTimeout = 200 * time.Millisecond }, "SILENT")
 	silentAddr, queries := serveScript(t)
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,6 +1,6 @@
 // Package discovery tracks the endpoints of a pool. A Source reports them as ListUpdates: AgentClient watches the platform's
-// discovery agent, and PollingSource polls a fixed list, a file or DNS. The package makes no decisions about endpoints, except that
-// package endpointset delays some changes for polled sources: it damps endpoints that flap, and keeps the last good list while
+// discovery agent, and PollingSource polls a fixed list, a file or DNS. The package makes no decisions about endpoints. A PollingSource
+// leaves them to package endpointset, which delays some changes: it damps endpoints that flap, and keeps the last good list while
 // responses are empty or failed.
 //
 // Each source is owned by the goroutine that calls its Run. Run returns when its context ends and then leaves no goroutine behind,
--- a/internal/discovery/dns.go
+++ b/internal/discovery/dns.go
@@ -19,7 +19,7 @@
 const (
 	dnsPollTimeout       = 5 * time.Second // time limit for all lookups of one poll together
 	maxConcurrentLookups = 8               // maximum number of lookups of SRV target hosts that run at the same time
-	minDNSRetryDelay     = time.Second     // delay after a failed or empty poll; doubles each time, up to DNSOptions.MaxTTL
+	minDNSRetryDelay     = time.Second     // time from the first failed or empty poll to the next poll; doubles with each further such poll, up to DNSOptions.MaxTTL
 )
 
 // DNSOptions configure a DNS source: which name is polled, at which server and how often.
@@ -49,8 +49,9 @@
 }
 
 // NewDNSSource returns a source that polls DNS through the standard resolver, which handles truncated, lost and malformed responses. The
-// next poll is due when the shortest time to live among the last poll's records has passed. A member's ID is its address. Run and
-// PollOnce call deliver with each list that differs from the previous one, and onFailure after each failed poll.
+// next poll is due when the shortest time to live among the last poll's records has passed, within the bounds o.MinTTL and o.MaxTTL. A
+// member's ID is its address. Run and PollOnce call deliver with each list that differs from the previous one, and onFailure after each
+// failed poll.
 func NewDNSSource(o DNSOptions, cache *MemberCache, deliver func(ListUpdate), onFailure func(), log *slog.Logger) *PollingSource {
 	p := &dnsPoller{options: o, retryDelay: minDNSRetryDelay}
 	return newPollingSource("dns "+o.Name, cache, p.poll, deliver, onFailure, log)
--- a/internal/discovery/dnsttl.go
+++ b/internal/discovery/dnsttl.go
@@ -12,8 +12,8 @@
 // maxTCPFrameBytes is the size of the longest DNS message over TCP, including its two-byte length prefix (RFC 1035, 4.2.2).
 const maxTCPFrameBytes = 2 + 65535
 
-// udpTTLConn records the times to live in the DNS messages that are read from it. It embeds the concrete type since the resolver
-// expects length prefixes on every connection that is not a net.PacketConn.
+// udpTTLConn records the times to live in the DNS messages that are read from it. It embeds a *net.UDPConn rather than a net.Conn so that
+// it is a net.PacketConn: on any other connection the resolver expects each message to have a length prefix.
 type udpTTLConn struct {
 	*net.UDPConn
 	poller *dnsPoller
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -20,8 +20,9 @@
 	filePollInterval = 200 * time.Millisecond
 	// maxFileBytes is the largest size of a members file. MaxMembers entries of about 100 bytes each need less.
 	maxFileBytes = 16 << 20
-	// mtimeGranularity is an upper bound of the resolution of modification times. A second change within that time may leave the
-	// modification time as it is, so a file is read again if it had been modified less than mtimeGranularity before the last reading.
+	// mtimeGranularity is an upper bound of the resolution of modification times. A file that changes twice within mtimeGranularity may
+	// have the same modification time after both changes. So it is read again if its modification time was less than mtimeGranularity
+	// before the last reading.
 	mtimeGranularity = time.Second
 )
 
@@ -80,7 +81,7 @@
 	return text, err
 }
 
-// memberEntry is an entry of a members file in its JSON form. ParseMemberFile explains the fields.
+// memberEntry is an entry of a members file in its JSON form. ParseMemberFile shows the format.
 type memberEntry struct {
 	ID      string `json:"id"`
 	Address string `json:"address"`
--- a/internal/discovery/messagereader.go
+++ b/internal/discovery/messagereader.go
@@ -43,7 +43,8 @@
 	}
 }
 
-// extendMessage counts n bytes that have arrived towards the current message. If no message is in progress, the bytes begin one.
+// extendMessage adds n bytes that have arrived to the size of the current message. If no message is in progress, the bytes begin one.
+// It returns an error if the message is then larger than maxMessageBytes.
 func (r *messageReader) extendMessage(n int) error {
 	if !r.isMidMessage {
 		r.isMidMessage, r.messageStartedAt, r.messageBytes = true, time.Now(), 0
--- a/internal/discovery/polling.go
+++ b/internal/discovery/polling.go
@@ -26,7 +26,7 @@
 	isHealthy    bool          // false from a poll that fails or lists no members until a poll lists members again
 }
 
-// pollResult is the result of one poll.
+// pollResult has the members that one poll of a source listed, and the time until the next poll.
 type pollResult struct {
 	members     []endpointset.Member // listed members; nil if isUnchanged
 	isUnchanged bool                 // the list is the same as at the previous poll
--- a/internal/discovery/polling_test.go
+++ b/internal/discovery/polling_test.go
@@ -23,7 +23,7 @@
 	source   *PollingSource
 }
 
-// newSourceFunc is a constructor of a source, with the callbacks and the cache that startSource passes in.
+// newSourceFunc returns a new source that uses the given cache and calls the given callbacks.
 type newSourceFunc func(cache *MemberCache, deliver func(ListUpdate), onFailure func(), log *slog.Logger) *PollingSource
 
 // startSource starts a source with an empty MemberCache, and stops it when the test ends.
--- a/internal/discovery/update.go
+++ b/internal/discovery/update.go
@@ -16,7 +16,7 @@
 	Kind      string        `json:"kind"`       // name of the member's kind; endpoints of the same kind have the same size and speed
 	Cell      int           `json:"cell"`       // number of the member's cell; endpoints of the same cell share the idempotency keys that they have seen
 	StateName string        `json:"state"`      // name of the state in the agent's messages, a key of stateByWireName; empty in updates of a PollingSource
-	StartedMs int64         `json:"started_ms"` // when the member started, as Unix time in ms; 0 if unknown, or if a PollingSource has listed the member unchanged since the first list
+	StartedMs int64         `json:"started_ms"` // when the member started, as Unix time in ms; 0 if unknown; a PollingSource sets it to when the member became active or changed its address, or to 0 if that was with the first list
 	State     balance.State `json:"-"`          // state that StateName stands for
 }
 
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -16,10 +16,10 @@
 	// changes after that version.
 	membersPath = "/catalog/members"
 
-	// watchIdleTimeout is how long a watch may send nothing before it is closed. The agent sends a heartbeat every 2 s. The platform
-	// counts an update that a silent watch misses as received 6 s after the silence began, and tolerates the old list for 0.5 s more.
-	// With this timeout two heartbeats are missed before the watch is closed, and more than half a second is left even after two further
-	// requests without a response.
+	// watchIdleTimeout is how long a watch may send nothing before it is closed. The agent sends a heartbeat every 2 s. If an update is
+	// missed because the watch is silent, the platform expects the sidecar to have the update 6 s after the silence began, and tolerates
+	// the old list for 0.5 s more. With this timeout two heartbeats are missed before the watch is closed, and even after two further
+	// requests without a response more than half a second of the 6 s is left.
 	watchIdleTimeout = 4300 * time.Millisecond
 
 	// pushedFirstByteTimeout is the time limit for the first byte of a response if watches need no call of Subscribe. It is short since
@@ -27,14 +27,14 @@
 	// sidecar to have received the agent's updates as soon as the agent responds again.
 	pushedFirstByteTimeout = 400 * time.Millisecond
 	// subscribedFirstByteTimeout is the time limit for the first byte of a response if each watch must be requested by Subscribe. It is
-	// longer than pushedFirstByteTimeout since an agent of which watches must be requested handles one request at a time.
+	// longer than pushedFirstByteTimeout since an agent with such watches handles one request at a time.
 	subscribedFirstByteTimeout = 2500 * time.Millisecond
 )
 
 // watch runs one watch until it ends, and reports whether anything was received. It first fetches the complete list if no version of
 // the list is known. The agent begins a watch with the changes since the given version, or sends a heartbeat within 2 s if there are
-// none. So a watch that opens and stays silent is closed sooner than one that has sent something, unless the complete list was just
-// fetched.
+// none. So a watch from which nothing arrives after it opens is closed after firstByteTimeout, since it may have missed changes. Right
+// after a fetch of the complete list there may be no changes to send, so the watch is closed only after idleTimeout.
 func (c *AgentClient) watch(ctx context.Context) (hasReceived bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/endpointset/damping.go
+++ b/internal/endpointset/damping.go
@@ -5,7 +5,7 @@
 const (
 	// maxDampingDoublings bounds how often the delay of a flapping member doubles: it is at most 64 times Options.FlapDamping.
 	maxDampingDoublings = 6
-	// flapHistoryLifetime is how long a member's departures are remembered after the last one.
+	// flapHistoryLifetime is how long a member's flap history counts after the member last disappeared from the list.
 	flapHistoryLifetime = 10 * time.Minute
 	// maxFlapHistories bounds the number of flap histories kept, in addition to one per active member.
 	maxFlapHistories = 10_000
@@ -15,8 +15,8 @@
 type flapHistory struct {
 	departures      int           // number of times that the member disappeared from the list
 	lastDepartureAt time.Duration // instant at which the member last disappeared from the list
-	isListedAgain   bool          // the member has been listed since its last departure, and its activation was delayed
-	listedAgainAt   time.Duration // instant at which the damped member was listed again; set if isListedAgain
+	dampingHasBegun bool          // the member was listed again after its last departure, and a damping delay began then
+	listedAgainAt   time.Duration // instant at which the member was listed again and the damping delay began; set if dampingHasBegun
 }
 
 // recordDeparture records that a member has disappeared from the list at the instant now.
@@ -28,11 +28,11 @@
 		s.flapHistories[id] = history
 	}
 	history.departures++
-	history.lastDepartureAt, history.isListedAgain = now, false
+	history.lastDepartureAt, history.dampingHasBegun = now, false
 }
 
-// pruneFlapHistories makes room for another flap history if the limit is reached: it deletes expired ones, or all of them if
-// too many have not expired.
+// pruneFlapHistories makes room for another flap history if as many are kept as maxFlapHistories allows. It deletes the expired
+// histories. If that makes no room, it deletes all others, too.
 func (s *Set) pruneFlapHistories(now time.Duration) {
 	if len(s.flapHistories) < maxFlapHistories+len(s.active) {
 		return
@@ -54,8 +54,8 @@
 	if history == nil || history.departures < 2 || now-history.lastDepartureAt > flapHistoryLifetime {
 		return now
 	}
-	if !history.isListedAgain {
-		history.isListedAgain, history.listedAgainAt = true, now
+	if !history.dampingHasBegun {
+		history.dampingHasBegun, history.listedAgainAt = true, now
 	}
 	doublings := min(history.departures-2, maxDampingDoublings)
 	return history.listedAgainAt + s.options.FlapDamping<<doublings
--- a/internal/endpointset/endpointset.go
+++ b/internal/endpointset/endpointset.go
@@ -41,7 +41,7 @@
 type Set struct {
 	options          Options
 	hasList          bool                    // a list with members has been handled
-	listed           map[string]Member       // members of the last accepted list, by ID
+	listed           map[string]Member       // members of the last list that had any, by ID; empty once that list has expired
 	active           map[string]Endpoint     // active endpoints, by ID
 	flapHistories    map[string]*flapHistory // departures of members, by ID
 	lastGoodListAt   time.Duration           // instant of the last list with members
@@ -104,7 +104,8 @@
 	return at, ok
 }
 
-// Tick applies the changes that are due at now, and reports whether the active endpoints have changed.
+// Tick applies the changes that are due at the instant now without a further response: damped members become active, or the last good
+// list expires. It reports whether the active endpoints have changed.
 func (s *Set) Tick(now time.Duration) (changed bool) {
 	if s.holdsLastGood && s.HandleFailure(now) {
 		return true
--- a/internal/tomlfile/check.go
+++ b/internal/tomlfile/check.go
@@ -7,7 +7,8 @@
 	expected string // what the field must be, as in "over 0"
 }
 
-// Require returns a requirement on a field. expected completes the sentence "the field must be".
+// Require returns a requirement on a field. isMet is whether the field's value meets it, and expected says what the field must be, as
+// in "over 0".
 func Require(field string, isMet bool, expected string) Requirement {
 	return Requirement{field, isMet, expected}
 }
--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -43,7 +43,7 @@
 )
 
 // decodeValue sets a field of a struct, or an element of an array, to a value of the parsed file; field is its full name. Ranges and
-// durations are recognized by type before anything else, since by kind they are ordinary structs and integers.
+// durations are recognized by their Go types first, since their reflect.Kinds are those of ordinary structs and integers.
 func (d *decoder) decodeValue(field string, value any, into reflect.Value) {
 	switch into.Type() {
 	case numberRangeType:
