--- a/internal/testkit/rehearse/chart.go
+++ b/internal/testkit/rehearse/chart.go
@@ -75,7 +75,8 @@
 	return 1200
 }
 
-// scaleMaxFor returns the value at the top of a scale for values up to v: a round value that is at least v.
+// scaleMaxFor returns the value at the top of a chart's vertical scale whose greatest plotted value is v: a round number that is at
+// least v.
 func scaleMaxFor(v float64) float64 {
 	if v <= 0 {
 		return 1
@@ -118,7 +119,8 @@
 	fmt.Fprintf(&c.Builder, `<polyline class="%s" points="%s"/>`, cssClass, strings.Join(points, " "))
 }
 
-// drawColumns draws a column for each second whose value is positive.
+// drawColumns draws a column for each second of the day. The heights of the columns are values, one for each second; a value that is
+// not positive gets no column.
 func (c *chart) drawColumns(cssClass string, values []float64) {
 	for i, v := range values {
 		if v > 0 {
--- a/internal/testkit/rehearse/client.go
+++ b/internal/testkit/rehearse/client.go
@@ -12,7 +12,7 @@
 // maxClientIdleConnections bounds the idle connections to sidecars that are kept for all simulated clients together.
 const maxClientIdleConnections = 256
 
-// outcome is the result of a client's request after all its attempts.
+// outcome is the result of a client's request after the last attempt that the client sends for it.
 type outcome struct {
 	isServed     bool          // whether the last attempt was answered with status 200
 	duration     time.Duration // time from when the request was due until the client was served or gave up
@@ -30,8 +30,8 @@
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// runClient simulates the client of request i of the plan, which is due at an instant: it sends the request and its retries, and
-// records the outcome.
+// runClient simulates the client of request i of the plan: it sends the request and its retries, and records the outcome. The request
+// is due at dueAt, from which its deadline and latency count.
 func (r *rehearsal) runClient(i int, dueAt time.Time) {
 	request, o := &r.plan.Requests[i], &r.outcomes[i]
 	class := r.plan.Classes[request.Class]
--- a/internal/testkit/rehearse/cluster.go
+++ b/internal/testkit/rehearse/cluster.go
@@ -39,16 +39,16 @@
 
 	mu             sync.Mutex
 	events         []clusterinvariant.Event         // starts and ends of members' processes and of faults, and changes of the members' views of the cluster
-	versionReports []clusterinvariant.VersionReport // responses to polls, each of a member that holds a lease on the version of the settings that it acts on
+	versionReports []clusterinvariant.VersionReport // responses of the members to the rehearsal's polls; each states the version of the settings on which the member acts and holds a lease
 	activeFaults   int                              // number of faults of links or processes that are active
 }
 
-// clusterMember is a sidecar of the cluster.
+// clusterMember is a sidecar that is a member of the cluster, with what the rehearsal needs to start and poll it.
 type clusterMember struct {
 	clockRateEnv string // NAME=VALUE of the environment variable that sets the rate of the sidecar's clock; empty: the sidecar uses the machine's clock
 	incarnation  int    // number of times that the sidecar's process was started; guarded by cluster.mu
 	configText   string // admin_addr and the section [fleet] of the sidecar's operators' file
-	adminAddr    string // address of the sidecar's admin listener, which answers the polls
+	adminAddr    string // address of the sidecar's admin listener, which the rehearsal polls for the sidecar's state
 }
 
 // buildCluster creates the cluster, if the day has one, and the configuration of its members.
@@ -167,7 +167,7 @@
 	}
 }
 
-// inject injects a fault of links when it is due and returns when the fault is over. When ctx ends, it removes the fault.
+// inject injects a fault of links when it is due. At the end of the fault, or earlier if ctx ends, it restores the links and returns.
 func (c *cluster) inject(ctx context.Context, dayStartedAt time.Time, fault LinkFault) {
 	if !sleep(ctx, time.Until(dayStartedAt.Add(fault.Start))) {
 		return
--- a/internal/testkit/rehearse/cluster_config.go
+++ b/internal/testkit/rehearse/cluster_config.go
@@ -64,7 +64,8 @@
 	Magnitude     float64       `json:"Size"`   // strength of the fault, in seconds for "delay", otherwise a fraction of the datagrams; see linkFaultHasMagnitude
 }
 
-// checkCluster checks the cluster and the faults of its links, and sets the default time limits of a cluster.
+// checkCluster checks the values that a day's file states for the cluster and for the faults of the links between its members, and
+// sets the default time limits of the cluster.
 func (d *Day) checkCluster(f *tomlfile.File) error {
 	if c := d.Cluster; c != nil {
 		if c.DetectWithin == 0 {
--- a/internal/testkit/rehearse/cluster_poll.go
+++ b/internal/testkit/rehearse/cluster_poll.go
@@ -13,7 +13,7 @@
 
 const (
 	clusterPollInterval    = 50 * time.Millisecond   // interval between two polls of the same sidecar
-	clusterPollTimeout     = time.Second             // timeout of a poll, or of each step of an operator command
+	clusterPollTimeout     = time.Second             // timeout of a poll; a command that ejects or restores an endpoint has this time to connect, and again for its exchange
 	ejectionToggleInterval = 1500 * time.Millisecond // interval between commands that alternately eject and restore an endpoint
 )
 
--- a/internal/testkit/rehearse/cluster_result.go
+++ b/internal/testkit/rehearse/cluster_result.go
@@ -10,23 +10,24 @@
 	"tuliprock/internal/testkit/clusterinvariant"
 )
 
-// maxReportedViolations bounds the number of violations that a result lists for each rule of a cluster.
+// maxReportedViolations bounds the number of violations that a result lists for each rule that the members of a cluster must keep.
 const maxReportedViolations = 20
 
-// ClusterResult holds the verdicts on the cluster and its measured times.
+// ClusterResult says whether the sidecars of a cluster kept the rules on membership and settings versions during the day, and how
+// long they took to notice changes of the membership.
 type ClusterResult struct {
-	Held                      bool                `json:"held"`     // whether no rule of the cluster was violated
+	Held                      bool                `json:"held"`     // whether the sidecars violated no rule in Rules
 	Rules                     []ClusterRuleResult `json:"rules"`    // verdicts on the membership rules, then on the version rules if the cluster has consensus
-	SlowestDetectionSeconds   float64             `json:"detect_s"` // longest time until all other sidecars had detected a sidecar's failure
-	SlowestConvergenceSeconds float64             `json:"settle_s"` // longest time from the last fault, start or end of a sidecar until all sidecars saw exactly the running sidecars as present
+	SlowestDetectionSeconds   float64             `json:"detect_s"` // longest time from the end of a sidecar's process until another sidecar detected the end, in seconds; counted only if no fault of links or processes was active in between
+	SlowestConvergenceSeconds float64             `json:"settle_s"` // longest time from the end of all faults, or from a start or end of a sidecar, until all sidecars saw exactly the running sidecars as present, in seconds
 	EventCount                int                 `json:"events"`   // number of events in the timeline of the cluster
 
 	VersionReportCount          int     `json:"acts,omitempty"`            // number of polls in which a sidecar held a lease on a settings version
-	VersionCount                int     `json:"versions,omitempty"`        // number of versions of the settings that sidecars acted on
-	LongestContradictionSeconds float64 `json:"contradiction_s,omitempty"` // longest time for which a sidecar certainly acted on a superseded settings version
+	VersionCount                int     `json:"versions,omitempty"`        // number of versions of the settings on which sidecars acted, without those first reported after a later version
+	LongestContradictionSeconds float64 `json:"contradiction_s,omitempty"` // longest time, as far as polls prove it, for which a sidecar acted on a settings version after some sidecar had acted on a later one
 }
 
-// ClusterRuleResult is the verdict on one rule of a cluster.
+// ClusterRuleResult says whether the sidecars of a cluster kept one rule on membership or settings versions.
 type ClusterRuleResult struct {
 	Name            string                       `json:"name"`
 	Verdict         string                       `json:"verdict"`  // "held", "broken" or "not put to the test"
@@ -84,7 +85,8 @@
 	return result
 }
 
-// writeText writes the result as lines of text. It writes nothing for nil.
+// writeText writes the verdict on each rule, the first violations and the measured times as lines of text. It writes nothing for a
+// nil ClusterResult.
 func (r *ClusterResult) writeText(b *strings.Builder) {
 	if r == nil {
 		return
--- a/internal/testkit/rehearse/day.go
+++ b/internal/testkit/rehearse/day.go
@@ -26,7 +26,7 @@
 
 	Load struct {
 		Utilization          tomlfile.NumberRange `toml:"use"`              // demand, as a fraction of the capacity of the nodes
-		OverQuotaValueFactor float64              `toml:"over_share_worth"` // factor on the value (see Result) of a request that exceeds its tenant's quota
+		OverQuotaValueFactor float64              `toml:"over_share_worth"` // factor by which the value of a request (priority weight times work) is multiplied if the request exceeds its tenant's quota
 		TotalQuotaFraction   tomlfile.NumberRange `toml:"quota"`            // sum of all tenants' quotas, as a fraction of the nodes' capacity
 		HasCostHints         bool                 `toml:"hints"`            // whether clients send an estimate of the work of a request
 	} `toml:"load"`
@@ -40,8 +40,8 @@
 		RemovalDelay tomlfile.DurationRange `toml:"notice"` // time for which the front layer, the clients' load balancer, still connects clients to a dead sidecar
 	} `toml:"front"`
 	Discovery struct {
-		RemovalDelay  tomlfile.DurationRange `toml:"notice"` // time until sidecars are notified that a node drains or is gone
-		AdditionDelay tomlfile.DurationRange `toml:"add"`    // time until sidecars are notified that a node has started
+		RemovalDelay  tomlfile.DurationRange `toml:"notice"` // time from when a node begins to drain, or is gone, until sidecars are notified of it
+		AdditionDelay tomlfile.DurationRange `toml:"add"`    // time from the start of a node until sidecars are notified of it
 		SidecarDelay  tomlfile.DurationRange `toml:"spread"` // delay in addition to RemovalDelay or AdditionDelay, drawn for each sidecar and notification
 	} `toml:"roster"`
 	Clients struct {
@@ -59,7 +59,7 @@
 		Tolerance          time.Duration `toml:"slack"`           // time by which an event may exceed each time limit of the invariants without a violation
 		DrainGrace         time.Duration `toml:"drain_grace"`     // time after the notification that a node drains or is gone, in which a sidecar may still send it attempts
 		ColdOverloadFactor float64       `toml:"fall_multiple"`   // limit of the work sent to a warming node within ColdOverloadWindow, as a multiple of the work that the node can do in that time; above it, the node collapses
-		ColdOverloadWindow time.Duration `toml:"fall_after"`      // length of the window over which the work sent to a warming node is summed, to compare the sum with ColdOverloadFactor
+		ColdOverloadWindow time.Duration `toml:"fall_after"`      // length of the window over which the work sent to a warming node is summed, to check the limit ColdOverloadFactor
 		DialTimeout        time.Duration `toml:"dial_timeout"`    // time that a sidecar waits for a connection to a node
 	} `toml:"rules"`
 	Tiers   []Tier      `toml:"tier"`
@@ -119,14 +119,14 @@
 	WorkVariation       float64                `toml:"vary"`   // coefficient of variation of the work, which is lognormal
 	LatencyObjective    time.Duration          `toml:"aim"`
 	Deadline            time.Duration          `toml:"deadline"`
-	PriorityWeight      float64                `toml:"worth"` // value of a request for each second of its work
+	PriorityWeight      float64                `toml:"worth"` // factor that gives the value of a request of this class: the value is PriorityWeight times the request's work in seconds
 }
 
 // Tenant is one of the parties that share the nodes. Each has a quota of requests.
 type Tenant struct {
 	Name           string               `toml:"name"`
 	Proportion     float64              `toml:"share"` // quota, relative to the quotas of the other tenants
-	RelativeDemand tomlfile.NumberRange `toml:"usage"` // demand of the tenant relative to its quota; sets its proportion of the traffic, not the total
+	RelativeDemand tomlfile.NumberRange `toml:"usage"` // demand of the tenant relative to its quota; affects only the tenant's proportion of the day's requests, not their total number
 }
 
 // FaultSpec is a fault as a day's file describes it.
@@ -138,7 +138,7 @@
 	Magnitude      tomlfile.NumberRange   `toml:"size"`  // strength of the fault, whose unit depends on its kind; see faultKinds
 	Tier           string                 `toml:"tier"`  // name of the tier whose nodes are hit; empty: the first tier
 	Mode           string                 `toml:"how"`   // variant of the kind of fault; see faultModes
-	Downtime       tomlfile.DurationRange `toml:"down"`  // time until a restarted sidecar or a drained node is started again
+	Downtime       tomlfile.DurationRange `toml:"down"`  // time from the end of a restarted sidecar's process, or from the stop of a drained node, until the sidecar or node is started again
 }
 
 // faultTraits says whether a kind of fault hits nodes or sidecars, and whether its FaultSpec has a Magnitude and a Downtime.
@@ -150,7 +150,7 @@
 	"crash":       {hitsNodes: true},                       // nodes are killed together, and start cold after Duration
 	"drain":       {hitsNodes: true, hasDowntime: true},    // nodes drain, stop after Duration, and start cold after Downtime
 	"hang":        {hitsNodes: true, hasMagnitude: true},   // nodes never answer the fraction Magnitude of their requests
-	"reset":       {hitsNodes: true, hasMagnitude: true},   // nodes run requests, but reset the connection instead of responding for the fraction Magnitude
+	"reset":       {hitsNodes: true, hasMagnitude: true},   // nodes run all requests, but for the fraction Magnitude of them reset the connection instead of responding
 	"restart":     {hitsSidecars: true, hasDowntime: true}, // sidecars before the first tier restart one after another over Duration
 	"stall":       {hitsSidecars: true},                    // sidecars before the first tier are paused
 	"roster-late": {hasMagnitude: true},                    // notifications of discovery are late by Magnitude, in seconds
@@ -159,7 +159,7 @@
 }
 
 // faultModes lists the values of Mode for the kinds that use it. A sidecar restarts after SIGKILL ("kill") or SIGTERM
-// ("planned"). A node starts again at its old address under the same ID, which is the default, or under a new one ("renamed").
+// ("planned"). A node starts again at its old address, with its old ID by default or with a new ID ("renamed").
 var faultModes = map[string][]string{
 	"restart": {"kill", "planned"},
 	"crash":   {"", "same", "renamed"},
--- a/internal/testkit/rehearse/day_test.go
+++ b/internal/testkit/rehearse/day_test.go
@@ -54,7 +54,7 @@
 			}
 			return
 		}
-		if d.Length <= 10*time.Second && d.Load.Utilization.Hi <= 1 { // NewPlan must not panic, but may return an error
+		if d.Length <= 10*time.Second && d.Load.Utilization.Hi <= 1 { // only such short days at moderate load are planned; NewPlan may return an error for them, but must not panic
 			_, _ = NewPlan(d, 1, 1)
 		}
 	})
--- a/internal/testkit/rehearse/faults.go
+++ b/internal/testkit/rehearse/faults.go
@@ -12,7 +12,7 @@
 
 const (
 	frontRemovalDelayAfterSigterm = 300 * time.Millisecond // time after SIGTERM for which the front layer still opens connections to the sidecar
-	maxInFlightWait               = 3 * time.Second        // longest time between SIGTERM and SIGKILL for requests in flight, in addition to sigtermGrace
+	maxInFlightWait               = 3 * time.Second        // longest time that a sidecar has, after SIGTERM and sigtermGrace, to finish its requests in flight; then it gets SIGKILL
 )
 
 // inject waits until a fault is due, injects it and returns when the fault is over. If ctx ends, the rest of the fault is skipped.
--- a/internal/testkit/rehearse/faulty_sidecar_test.go
+++ b/internal/testkit/rehearse/faulty_sidecar_test.go
@@ -51,9 +51,9 @@
 			return err
 		}
 	case "sends to draining nodes":
-		// The relay keeps notifications of drains from the sidecar. A faultyBalancer replaces the sidecar's own balancer, which would
-		// pause a draining node that rejects requests: the node might then receive no request after the drain grace, when a request
-		// is a violation.
+		// hideDrains keeps notifications of drains from the sidecar. A faultyBalancer replaces the sidecar's own balancer, which would
+		// pause a draining node that rejects requests. The node might then receive no request after Day.Rules.DrainGrace, the time after
+		// which a request to a draining node is a violation.
 		if c.Discovery, err = hideDrains(c.Discovery); err != nil {
 			return err
 		}
--- a/internal/testkit/rehearse/invariants_test.go
+++ b/internal/testkit/rehearse/invariants_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestBaselineBalancersAreKnownByName checks that each listed name has a balancer, and that the error for an unknown name lists the
-// known names.
+// TestBaselineBalancersAreKnownByName checks that baseline.New knows each name that baseline.PolicyNames returns, and that its error
+// for an unknown name lists the known names.
 func TestBaselineBalancersAreKnownByName(t *testing.T) {
 	for _, name := range baseline.PolicyNames() {
 		if _, err := baseline.New(name); err != nil {
--- a/internal/testkit/rehearse/measure.go
+++ b/internal/testkit/rehearse/measure.go
@@ -10,8 +10,8 @@
 	"tuliprock/internal/testkit/schedule"
 )
 
-// The weights of the fractions of value served in time, of which computeServicePoints forms a weighted sum. The sum of the weights
-// is 1.
+// The weights of four fractions of which computeServicePoints forms a weighted sum. Each fraction says how much of the value of
+// requests (priority weight times work) was served in time. The sum of the weights is 1.
 const (
 	weightOverall     = 0.55
 	weightWorstWindow = 0.15
@@ -19,7 +19,8 @@
 	weightWorstTenant = 0.25
 )
 
-// The points of service, out of 100, that a penalty subtracts when its measured value is 1. Penalties says what is measured for each.
+// The factors of the penalties. A penalty is its factor times a ratio that is measured in the run, such as the connections per
+// request, and is subtracted from the service points of the run, which are out of 100. The fields of Penalties say what each ratio is.
 const (
 	penaltyConnections  = 8
 	penaltyWaste        = 4
@@ -79,7 +80,8 @@
 	return result
 }
 
-// addClientMetrics sets what clients observed: the value served in time, latencies, and counts of requests and attempts.
+// addClientMetrics sets what clients observed: the value (priority weight times work) of the requests served in time, latencies, and
+// counts of requests and attempts.
 func (r *rehearsal) addClientMetrics(result *Result) {
 	latencyByName := map[string]*schedule.LatencyHistogram{"all": schedule.NewLatencyHistogram()}
 	latencyBySecond := make([]*schedule.LatencyHistogram, int(math.Ceil(r.plan.Day.Length.Seconds())))
@@ -183,15 +185,15 @@
 	result.Penalties.Overload = penaltyOverload * ratio(float64(overloadedNodes), float64(len(r.plan.Nodes)), 0)
 }
 
-// computeServicePoints sets the points of service: the weighted fractions of value served in time, on a scale of 100, minus the
-// penalties.
+// computeServicePoints sets the service points, which rate the run out of 100: a weighted sum of four fractions, each of the value of
+// requests (priority weight times work) that was served in time, minus the penalties.
 func (r *Result) computeServicePoints() {
 	r.ServicePoints = 100*(weightOverall*r.InTimeFraction+weightWorstWindow*r.WorstWindowFraction+weightWorstClass*minFraction(r.ByClass)+
 		weightWorstTenant*minFraction(r.ByTenant)) -
 		r.Penalties.Connections - r.Penalties.Waste - r.Penalties.LateFailures - r.Penalties.Overload
 }
 
-// addRequest adds the value of a request to Offered and, if the request was served in time, to InTime.
+// addRequest adds Request.Value (priority weight times work) to Offered and, if the request was served in time, to InTime.
 func (s *ServedValue) addRequest(request *Request, isInTime bool) {
 	s.Offered += request.Value
 	if isInTime {
@@ -200,7 +202,7 @@
 	s.Fraction = ratio(s.InTime, s.Offered, 1)
 }
 
-// addToServedValue adds the value of a request to the entry of a class or tenant.
+// addToServedValue adds Request.Value (priority weight times work) to the entry of the class or tenant that name identifies.
 func addToServedValue(byName map[string]ServedValue, name string, request *Request, isInTime bool) {
 	s := byName[name]
 	s.addRequest(request, isInTime)
@@ -225,8 +227,8 @@
 	}
 }
 
-// worstWindowFraction returns the lowest fraction of value that was served in time in any window of worstWindowSeconds. If the day
-// is shorter than a window, it returns the fraction of the whole day.
+// worstWindowFraction looks at the requests that were due in each window of worstWindowSeconds. It returns the lowest fraction of
+// their value (priority weight times work) that was served in time. A day that is shorter than a window is a single window.
 func worstWindowFraction(seconds []Second) float64 {
 	lowest := 1.0
 	windowSeconds := min(worstWindowSeconds, len(seconds))
@@ -241,7 +243,7 @@
 	return lowest
 }
 
-// minFraction returns the lowest Fraction of the entries, or 1 if there are none.
+// minFraction returns the lowest ServedValue.Fraction in a map by class or by tenant, or 1 for an empty map.
 func minFraction(byName map[string]ServedValue) float64 {
 	lowest := 1.0
 	for _, s := range byName {
--- a/internal/testkit/rehearse/operators.go
+++ b/internal/testkit/rehearse/operators.go
@@ -18,7 +18,7 @@
 	var b strings.Builder
 	day, sidecars, rules := p.Day, p.Day.Sidecars, p.Day.Rules
 	tier := day.Tiers[role.tier]
-	connections := max((sidecars.MaxDescriptors-reservedDescriptors)/2, 8) // limit for connections from clients, and again for connections to nodes
+	connections := max((sidecars.MaxDescriptors-reservedDescriptors)/2, 8) // limit of the connections from clients; the connections to nodes have a limit of the same size
 	fmt.Fprintf(&b, "format = 1\n[daemon]\nname = %q\nseed = %d\ncores = %v\nmemory_mb = %d\n",
 		role.name, seed>>1|1, sidecars.Cores, sidecars.MemoryMB)
 	if member != nil {
--- a/internal/testkit/rehearse/output_format_test.go
+++ b/internal/testkit/rehearse/output_format_test.go
@@ -72,7 +72,7 @@
 	return []*Result{exampleResult(OwnBalancer, 1, 1, 80)}
 }
 
-// severalResults returns results of two balancers and two demands. One result is not valid, and one has a crash.
+// severalResults returns results of two balancers and two demands. One result is not valid, and in another a sidecar crashed.
 func severalResults() []*Result {
 	results := []*Result{exampleResult(OwnBalancer, 1, 0.8, 80), exampleResult(OwnBalancer, 2, 0.8, 70), exampleResult("random", 1, 1.3, 50)}
 	results[1].Valid, results[1].InvalidReasons = false, []string{"the machine was too busy"}
--- a/internal/testkit/rehearse/plan.go
+++ b/internal/testkit/rehearse/plan.go
@@ -45,7 +45,7 @@
 	Job               *fake.Job     // work of the request, and of the calls that it causes in further tiers
 	IdempotencyKey    string        `json:"Key"`     // idempotency key that the client sends with each attempt of a keyed class
 	IsOverQuota       bool          `json:"Over"`    // whether the request exceeds its tenant's quota
-	Value             float64       `json:"Worth"`   // value of serving the request within the latency objective
+	Value             float64       `json:"Worth"`   // priority weight of the class times the request's work in seconds, and times Day.Load.OverQuotaValueFactor if IsOverQuota; counts as served if the request is served within the latency objective
 	MaxRetries        int           `json:"Retries"` // largest number of retries that the client sends
 	AttemptTimeout    time.Duration `json:"Wait"`    // time after which the client gives up an attempt
 	Backoff           time.Duration // delay before each retry; 0: retries are sent at once
--- a/internal/testkit/rehearse/plan_faults.go
+++ b/internal/testkit/rehearse/plan_faults.go
@@ -15,7 +15,7 @@
 	Targets   []string      // IDs of the nodes or names of the sidecars that are hit
 	Magnitude float64       `json:"Size"` // strength of the fault, whose unit depends on its kind; see faultKinds
 	Mode      string        `json:"How"`  // variant of the kind; see faultModes
-	Downtime  time.Duration `json:"Down"` // time until a restarted sidecar or a drained node is started again
+	Downtime  time.Duration `json:"Down"` // time from the end of a restarted sidecar's process, or from the stop of a drained node, until the sidecar or node is started again
 }
 
 // drawFaults draws the plan's faults of nodes, sidecars, discovery and demand at random from the ranges in Day.Faults.
@@ -54,7 +54,7 @@
 	return out
 }
 
-// drawTargets draws a fraction of the candidates, at least one unless there are none.
+// drawTargets returns a random selection of the given fraction of the candidates, but at least one candidate if there is any.
 func drawTargets(rng *rand.Rand, candidates []string, fraction float64) []string {
 	order := rng.Perm(len(candidates))
 	if len(candidates) == 0 {
--- a/internal/testkit/rehearse/plan_requests.go
+++ b/internal/testkit/rehearse/plan_requests.go
@@ -14,8 +14,8 @@
 	// maxRequests is the largest number of client requests of a day. It bounds the memory of a run: with three tiers a request takes
 	// 24 kB, including its events in the timeline.
 	maxRequests = 100_000
-	// maxCalls is the largest mean number of calls to all tiers together in a day: each call has at least five events in the
-	// timeline, which holds maxEvents.
+	// maxCalls bounds the expected number of calls that all requests of a day cause in all tiers together. Each call has at least five
+	// events in the timeline, which holds maxEvents.
 	maxCalls = maxEvents / 5
 	// maxWorkFactor is the largest work that is drawn for a call, as a multiple of the mean, since a lognormal distribution is
 	// unbounded.
--- a/internal/testkit/rehearse/plan_test.go
+++ b/internal/testkit/rehearse/plan_test.go
@@ -82,8 +82,8 @@
 	})
 }
 
-// TestPlannedWorkMatchesTheUtilization guards against work that is drawn from another distribution than the one that NewPlan uses
-// to compute the rate of requests. The utilization of the nodes would then differ from the one in the day's file.
+// TestPlannedWorkMatchesTheUtilization checks that the work of the planned requests gives the nodes the utilization that the day's
+// file states. It would not if NewPlan computed the rate of requests from another mean work than that of the requests that it draws.
 func TestPlannedWorkMatchesTheUtilization(t *testing.T) {
 	p := newTestPlan(t, `length = "8s"`, `length = "600s"`)
 	workByTier := make([]float64, len(p.Day.Tiers))
--- a/internal/testkit/rehearse/result.go
+++ b/internal/testkit/rehearse/result.go
@@ -7,7 +7,7 @@
 type Result struct {
 	Format   int     `json:"format"` // version of the format of result files, always 1
 	Day      string  `json:"day"`
-	Balancer string  `json:"balancer"` // OwnBalancer, or the name of a baseline policy
+	Balancer string  `json:"balancer"` // balancer that the sidecars ran: OwnBalancer, or the name of a simple policy, such as "random", with which OwnBalancer is compared
 	Seed     uint64  `json:"seed"`
 	Demand   float64 `json:"demand"` // factor on the demand that the day's file states
 
@@ -15,12 +15,12 @@
 	InvalidReasons []string `json:"invalid,omitempty"` // reasons why the run is not valid; empty if it is valid
 	Held           bool     `json:"held"`              // whether no invariant was violated and no sidecar crashed
 
-	InTimeFraction      float64                `json:"whole"`     // fraction of the value of all requests that was served in time
-	WorstWindowFraction float64                `json:"worst_10s"` // lowest fraction of value that was served in time in any window of 10 seconds
+	InTimeFraction      float64                `json:"whole"`     // fraction of the value of all client requests (priority weight times work) that was served in time
+	WorstWindowFraction float64                `json:"worst_10s"` // lowest fraction of the value of the client requests due in any window of 10 seconds (priority weight times work) that was served in time
 	BySecond            []Second               `json:"by_second"`
 	ByClass             map[string]ServedValue `json:"by_class"`
-	ByTenant            map[string]ServedValue `json:"by_tenant"` // value of the requests within each tenant's quota
-	ServicePoints       float64                `json:"service"`   // weighted fractions of value minus Penalties, in points out of 100
+	ByTenant            map[string]ServedValue `json:"by_tenant"` // by tenant, the value (priority weight times work) of the client requests within the quota, and how much of it was served in time
+	ServicePoints       float64                `json:"service"`   // rating of the run out of 100: weighted fractions of the value of requests (priority weight times work) that was served in time, minus Penalties
 	Penalties           Penalties              `json:"prices"`
 
 	Requests                 Counts             `json:"requests"`
@@ -41,25 +41,26 @@
 	Rejections []float64      `json:"refusals_by_second"` // for each second of the day, the number of rejections that clients and nodes received
 }
 
-// ServedValue is the value of a set of requests, and the part of it that was served in time.
+// ServedValue is the value (priority weight times work) of a set of client requests, and the part of this value that was served in
+// time.
 type ServedValue struct {
-	Offered  float64 `json:"asked"`    // value of all requests
-	InTime   float64 `json:"answered"` // value of the requests served within their latency objective
+	Offered  float64 `json:"asked"`    // sum of Request.Value of all requests in the set
+	InTime   float64 `json:"answered"` // sum of Request.Value of the requests in the set that were served within their latency objective
 	Fraction float64 `json:"share"`    // InTime divided by Offered, or 1 if Offered is 0
 }
 
-// Second holds the value and the latency of the client requests that were due in one second of the day.
+// Second holds the value (priority weight times work) and the latency of the client requests that were due in one second of the day.
 type Second struct {
 	ServedValue
 	P50 float64 `json:"p50_s"` // median latency of the requests that were served, in seconds
 	P99 float64 `json:"p99_s"` // 99th percentile of the latency of the requests that were served, in seconds
 }
 
-// Penalties are subtracted from the points of service, which are out of 100.
+// Penalties are the points that are subtracted from Result.ServicePoints, the rating of a run out of 100.
 type Penalties struct {
 	Connections  float64 `json:"connections"` // 8 points times the connections opened to nodes per client request
 	Waste        float64 `json:"waste"`       // 4 points times the work that nodes wasted, relative to the work of all client requests
-	LateFailures float64 `json:"late_fails"`  // 3 points times the value of the requests that failed after their latency objective, relative to the value of all requests
+	LateFailures float64 `json:"late_fails"`  // 3 points times the value (priority weight times work) of the client requests that failed after their latency objective, relative to the value of all client requests
 	Overload     float64 `json:"choked"`      // 6 points times the fraction of nodes that overload slowed
 }
 
--- a/internal/testkit/rehearse/result_charts.go
+++ b/internal/testkit/rehearse/result_charts.go
@@ -17,7 +17,7 @@
 	return values
 }
 
-// maxOf returns the greatest of the values, and at least 0.
+// maxOf returns the greatest of the values, or 0 if no value is positive.
 func maxOf(values []float64) float64 {
 	m := 0.0
 	for _, v := range values {
@@ -26,7 +26,8 @@
 	return m
 }
 
-// inTimeFractionChart draws the fraction of value that was served in time, by the second in which requests were due.
+// inTimeFractionChart draws, for each second of the day, which fraction of the value (priority weight times work) of the client
+// requests due in this second was served in time.
 func inTimeFractionChart(r *Result) template.HTML {
 	c := newChart(190, float64(len(r.BySecond)), 1)
 	c.drawFaultBands(r)
@@ -131,8 +132,8 @@
 	return nodeID
 }
 
-// sweepChart draws the fraction of value that was served in time against the demand, with a series for each balancer. It returns
-// an empty text if all results have the same demand.
+// sweepChart draws which fraction of the value (priority weight times work) of a run's client requests was served in time, against
+// the demand of the run, with a series for each balancer. It returns an empty text if all results have the same demand.
 func sweepChart(results []*Result) template.HTML {
 	lowest, highest := math.Inf(1), 0.0
 	type point struct{ demand, inTimeFraction float64 }
--- a/internal/testkit/rehearse/run.go
+++ b/internal/testkit/rehearse/run.go
@@ -18,7 +18,7 @@
 // Options configure a run of a plan.
 type Options struct {
 	NewCommand        func() *exec.Cmd   // returns a command that runs one sidecar; called for each start of a sidecar
-	UsesOperatorsFile bool               // whether all sidecars run "serve --config FILE" with an operators' file; if not, those outside a cluster get ROUTER_CONFIG
+	UsesOperatorsFile bool               // whether all sidecars run "serve --config FILE" with an operators' file; if not, those outside a cluster get the platform's configuration file instead
 	LogDir            string             // directory in which sidecars' logs and configurations are kept; empty: they are deleted
 	OnProgress        func(now Snapshot) // called at each sampleInterval from one goroutine; may be nil
 }
@@ -26,8 +26,8 @@
 // Snapshot is the progress of a run.
 type Snapshot struct {
 	Elapsed, Length           time.Duration // time since the start of the day, and the time over which requests arrive
-	OfferedValue, InTimeValue float64       // value of the requests that have their outcome, and of the requests served in time
-	InFlight                  int           // number of client requests without an outcome
+	OfferedValue, InTimeValue float64       // sum of Request.Value (priority weight times work) of the client requests that have their outcome, and of those served in time
+	InFlight                  int           // number of client requests that were started and have no outcome yet
 }
 
 // maxEvents bounds the events of a timeline. It allows 40 for each request that a plan may have; a day without faults and with
@@ -44,7 +44,7 @@
 	workDir    string             // directory of the sidecars' configurations and logs
 	recorder   *fake.Recorder     // timeline of events that the invariants are checked on
 	registry   *fake.Registry     // requests that clients and nodes have sent, by ID; nodes look up the work of a request in it
-	frontLayer *fake.FrontLayer   // selects a front sidecar for each connection of a client
+	frontLayer *fake.FrontLayer   // load balancer of the clients, which selects a sidecar before the first tier for each connection of a client
 	clients    *fake.Client       // sends the attempts of all clients
 	sequence   atomic.Uint64      // latest number of the sequence from which request IDs, call IDs and idempotency keys are made
 
@@ -58,10 +58,10 @@
 	extraNotificationDelay atomic.Int64                      // nanoseconds that faults of discovery add to the delay of notifications
 
 	requests     sync.WaitGroup             // goroutines that run clients, one for each request
-	inFlight     atomic.Int64               // number of client requests without an outcome
+	inFlight     atomic.Int64               // number of client requests that were started and have no outcome yet
 	outcomes     []outcome                  // outcome of each request; written by the goroutine of its client
-	offeredValue atomic.Int64               // value of the requests that have their outcome, in thousandths
-	inTimeValue  atomic.Int64               // value of the requests that were served in time, in thousandths
+	offeredValue atomic.Int64               // sum of 1000 * Request.Value (priority weight times work) over the client requests that have their outcome
+	inTimeValue  atomic.Int64               // sum of 1000 * Request.Value (priority weight times work) over the client requests that were served in time
 	sendLateness *schedule.LatencyHistogram // time from when requests were due until they were sent
 
 	mu  sync.Mutex
@@ -146,7 +146,8 @@
 	return fmt.Sprintf("%s-%016x", prefix, r.sequence.Add(1))
 }
 
-// drawUint64For draws a number that depends only on the plan's seed and the names, and not on the order of events.
+// drawUint64For draws a random number for one decision of the run, which is identified by the strings in names. The number depends
+// only on the plan's seed and these strings, and not on the order of events.
 func (r *rehearsal) drawUint64For(names ...string) uint64 {
 	h := fnv.New64a()
 	for _, name := range names {
@@ -155,7 +156,8 @@
 	return rand.New(rand.NewPCG(r.plan.Seed, h.Sum64())).Uint64()
 }
 
-// drawFractionFor draws a number in [0, 1) that depends only on the plan's seed and the names.
+// drawFractionFor draws a random number in [0, 1) for one decision of the run, which is identified by the strings in names. The number
+// depends only on the plan's seed and these strings.
 func (r *rehearsal) drawFractionFor(names ...string) float64 {
 	return float64(r.drawUint64For(names...)>>11) / (1 << 53)
 }
--- a/internal/testkit/rehearse/settings.go
+++ b/internal/testkit/rehearse/settings.go
@@ -28,11 +28,11 @@
 		Mode string `json:"How"` // how nodes send load reports; always "silent", which means that they send none
 	}
 	Rules struct {
-		ToleranceUs          int64   `json:"AnswerSlackUs"` // Day.Rules.Tolerance in microseconds
-		DrainGraceUs         int64   // Day.Rules.DrainGrace in microseconds
-		ColdOverloadWindowUs int64   `json:"TipAfterUs"`   // Day.Rules.ColdOverloadWindow in microseconds
+		ToleranceUs          int64   `json:"AnswerSlackUs"` // time by which an event may exceed each time limit of the invariants without a violation, in microseconds
+		DrainGraceUs         int64   // time after the notification that a node drains or is gone, in which the sidecar may still send it attempts, in microseconds
+		ColdOverloadWindowUs int64   `json:"TipAfterUs"`   // length of the window over which the work sent to a warming node is summed, to check the limit ColdOverloadFactor, in microseconds
 		WarmUpUs             int64   `json:"ColdUs"`       // longest time that a node needs to warm up, in microseconds
-		ColdOverloadFactor   float64 `json:"FallMultiple"` // Day.Rules.ColdOverloadFactor
+		ColdOverloadFactor   float64 `json:"FallMultiple"` // limit of the work sent to a warming node within ColdOverloadWindowUs, as a multiple of the work that the node can do in that time
 		ColdCapacityFraction float64 `json:"ColdFrom"`     // smallest fraction of its capacity that a node has after a start
 	}
 }
@@ -41,7 +41,7 @@
 type classSettings struct {
 	Name, Semantics, Group         string  // Semantics is one of semanticsNames; Group says which nodes drop duplicates together
 	OnTimeUs, DeadlineUs, WindowUs int64   // latency objective, deadline and deduplication window, in microseconds
-	PriorityWeight                 float64 `json:"Worth"` // value of a request for each second of its work
+	PriorityWeight                 float64 `json:"Worth"` // factor that gives the value of a request of this class: the value is PriorityWeight times the request's work in seconds
 }
 
 // tenantSettings is a tenant and its quota in the settings object.
--- a/internal/testkit/rehearse/sidecar_process.go
+++ b/internal/testkit/rehearse/sidecar_process.go
@@ -46,7 +46,7 @@
 	cmd            *exec.Cmd     // command of the running process; nil: no process runs
 	exited         chan struct{} // closed after the exit of the process that was last started
 	isExitExpected bool          // whether the rehearsal has sent the running process a signal that ends it
-	peakMemoryMB   float64       // highest peak resident memory, in MB, of the processes that the rehearsal ended; 0: the system does not provide it
+	peakMemoryMB   float64       // highest peak resident memory, in MB, of this sidecar's processes that the rehearsal ended; 0: it ended none, or the system does not provide it
 	isStopped      bool          // whether stop was called, after which no process is started
 }
 
--- a/internal/testkit/rehearse/table.go
+++ b/internal/testkit/rehearse/table.go
@@ -11,7 +11,8 @@
 	"tuliprock/internal/testkit/invariant"
 )
 
-// OwnBalancer is the name by which results refer to the balancer of this program, as opposed to a baseline policy.
+// OwnBalancer is the name by which results refer to the balancer of this program, as opposed to the simple policies with which it is
+// compared.
 const OwnBalancer = "tuliprock"
 
 // WriteJSON writes results in the documented format of result files.
@@ -174,8 +175,8 @@
 	return "held"
 }
 
-// writeSpread writes the minimum, median and maximum of the points of service for each balancer and demand. It writes nothing if
-// no balancer and demand has several results.
+// writeSpread writes the minimum, median and maximum of Result.ServicePoints for each balancer and demand. It writes nothing if no
+// pair of balancer and demand has several results.
 func writeSpread(b *strings.Builder, results []*Result) {
 	type group struct {
 		balancer string
--- a/internal/testkit/rehearse/validity.go
+++ b/internal/testkit/rehearse/validity.go
@@ -9,11 +9,12 @@
 )
 
 // Bounds of the lateness of the rehearsal itself, beyond which a run is not valid. Events may exceed the time limits of the
-// invariants by Day.Rules.Tolerance, which is 50 ms by default. Requests sent late by more than half of this time, or a stall of
-// the rehearsal as long as the drain grace, could be mistaken for a fault of a sidecar.
+// invariants by Day.Rules.Tolerance, which is 50 ms by default. A sidecar may send attempts to a draining node until
+// Day.Rules.DrainGrace after the notification. Requests sent late by more than half of the tolerance, or a stall of the rehearsal
+// longer than the drain grace, could be mistaken for a fault of a sidecar.
 const (
-	maxSendLatenessFraction = 0.5         // fraction of Day.Rules.Tolerance that the lateness of 99 of 100 requests sent must not exceed
-	maxStallFraction        = 1.0         // fraction of the drain grace that the length of a stall must not exceed
+	maxSendLatenessFraction = 0.5         // largest allowed 99th percentile of the time by which requests are sent late, as a fraction of Day.Rules.Tolerance
+	maxStallFraction        = 1.0         // longest allowed stall of the rehearsal, as a fraction of Day.Rules.DrainGrace
 	stallProximity          = time.Second // time before or after a stall of the rehearsal in which the stall may have caused a violation
 )
 
