--- a/internal/testkit/baseline/baseline.go
+++ b/internal/testkit/baseline/baseline.go
@@ -89,7 +89,7 @@
 }
 
 // EndpointList implements balance.Events. It applies an update of the endpoint list. If the update reports a failed poll or a
-// broken subscription instead, EndpointList subscribes again.
+// broken subscription instead, EndpointList subscribes to the endpoint list again.
 func (b *balancer) EndpointList(_ time.Duration, l balance.EndpointUpdate) {
 	if l.HasFailed {
 		b.host.Subscribe()
@@ -157,7 +157,8 @@
 	}
 }
 
-// Outcome implements balance.Events. It retries the request unless it is finished, or may have run and is not idempotent.
+// Outcome implements balance.Events. It retries the request if the attempt failed, unless the request is finished, or may have
+// run and is not idempotent.
 func (b *balancer) Outcome(now time.Duration, o balance.Outcome) {
 	q := b.requests[o.ID]
 	if q == nil {
--- a/internal/testkit/fake/agent.go
+++ b/internal/testkit/fake/agent.go
@@ -26,7 +26,7 @@
 // MemberList is a message from discovery. It holds all members, or only those that have changed.
 type MemberList struct {
 	Version int64    `json:"version"` // version of the list, which increases with each change of a member
-	IsFull  bool     `json:"full"`    // whether Servers holds all members; otherwise, the changes since an earlier version
+	IsFull  bool     `json:"full"`    // whether the list holds all members; false: it holds only those that changed after an earlier version
 	Servers []Member `json:"servers"`
 }
 
@@ -66,7 +66,7 @@
 	changes         []memberChange    // the latest changes, at most maxChanges, by ascending version
 	notifiedList    MemberList        // full endpoint list at the time of the latest message to the sidecar
 	notifiedVersion int64             // highest version of the endpoint list that was written to the sidecar
-	changed         chan struct{}     // closed and replaced at each change, and when discovery goes down or comes back
+	changed         chan struct{}     // closed and replaced at each change of the endpoint list, and when discovery goes down or comes back
 	isDiscoveryDown bool
 	pendingChanges  []Member // changes announced while discovery was down, in order; applied on its recovery
 }
@@ -105,7 +105,8 @@
 	return err
 }
 
-// Update adds, replaces or removes the member with the ID of m. While discovery is down, the change remains pending.
+// Update adds or replaces the member with the ID of m, or removes it if the state of m is StateGone. While discovery is down,
+// the change remains pending.
 func (a *Agent) Update(m Member) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -137,7 +138,8 @@
 	return a.notifiedList
 }
 
-// applyChange applies a change as the next version and wakes the watches. a.mu must be held.
+// applyChange applies the change of a member to the endpoint list, increases the list's version by 1 and wakes the watches.
+// a.mu must be held.
 func (a *Agent) applyChange(m Member) {
 	a.version++
 	a.setMember(m)
--- a/internal/testkit/fake/agent_test.go
+++ b/internal/testkit/fake/agent_test.go
@@ -116,7 +116,8 @@
 }
 
 // TestUnfetchedChangeCountsAsNotifiedAfterAssumedDelay checks that a sidecar that does not poll its agent counts as notified
-// of a change. Otherwise the sidecar could send requests to a draining node without breaking the invariant that forbids it.
+// of a change once assumedNotifiedAfter has passed since the change. Otherwise the sidecar could send requests to a draining
+// node without breaking the invariant that forbids it.
 func TestUnfetchedChangeCountsAsNotifiedAfterAssumedDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		recorder := NewRecorder(time.Now(), 100)
--- a/internal/testkit/fake/agent_watch.go
+++ b/internal/testkit/fake/agent_watch.go
@@ -31,8 +31,8 @@
 	a.serveWatch(w, r, after)
 }
 
-// serveWatch writes the changes after a version as they come, and heartbeats while there are none, until the client closes
-// the connection. It writes the first message at once, even if nothing has changed.
+// serveWatch writes the changes of the endpoint list since a version of the list as they come, and heartbeats while there are
+// none, until the client closes the connection. It writes the first message at once, even if nothing has changed.
 func (a *Agent) serveWatch(w http.ResponseWriter, r *http.Request, after int64) {
 	for isFirst := true; ; isFirst = false {
 		list, ok := a.awaitList(r, func() (MemberList, bool) {
--- a/internal/testkit/fake/cell.go
+++ b/internal/testkit/fake/cell.go
@@ -6,11 +6,11 @@
 )
 
 // Cell is a set of nodes that share one memory of idempotency keys, so that each node drops a duplicate of a request that any
-// node of the cell has received. It is safe for concurrent use.
+// node of the cell has begun to execute. It is safe for concurrent use.
 type Cell struct {
 	window  time.Duration // time for which an idempotency key is remembered
 	mu      sync.Mutex
-	seenAt  map[string]time.Time // first arrival of a request, by its idempotency key
+	seenAt  map[string]time.Time // time at which the window of each idempotency key began, by key
 	sweptAt time.Time            // latest removal of old keys from seenAt
 }
 
@@ -19,8 +19,8 @@
 	return &Cell{window: window, seenAt: map[string]time.Time{}}
 }
 
-// recordKey records that a request with an idempotency key has arrived. It reports whether the request is a duplicate, since the
-// key was first seen within the window before now. A duplicate does not extend the window.
+// recordKey records that a node begins to execute a request with an idempotency key, and reports whether the request is a duplicate.
+// A key's window begins with its first request. A request is a duplicate if it comes within the window, which it does not extend.
 func (c *Cell) recordKey(key string, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testkit/fake/client.go
+++ b/internal/testkit/fake/client.go
@@ -170,7 +170,7 @@
 // whether the connection was opened for the request.
 func (c *Client) exchange(conn *clientConn, r Request, deadline time.Duration, isNew bool, outcome *Outcome) bool {
 	c.recorder.Add(invariant.Event{Kind: invariant.RequestSent, Request: r.ID, Sidecar: conn.sidecar, Class: r.Class,
-		Deadline: deadline}) // recorded before the request is written, since the write causes further events
+		Deadline: deadline}) // the event is recorded before the request is written, since the write causes further events
 	if _, err := io.WriteString(conn, c.encodeRequest(r, deadline)); err != nil {
 		conn.Close()
 		if isNew {
--- a/internal/testkit/fake/frontlayer.go
+++ b/internal/testkit/fake/frontlayer.go
@@ -16,7 +16,7 @@
 	connectionCount int // number of calls of Connect that returned a target; it selects the next target
 }
 
-// Add adds a sidecar. If the sidecar was added before, Add changes its address.
+// Add adds a sidecar to those that receive connections. If the sidecar was added before, Add changes its address.
 func (f *FrontLayer) Add(sidecar, addr string) {
 	f.Remove(sidecar)
 	f.mu.Lock()
--- a/internal/testkit/fake/node.go
+++ b/internal/testkit/fake/node.go
@@ -27,7 +27,7 @@
 	QueueLimit           int           `json:"Room"`         // number of requests that may wait for a slot; further ones are rejected
 	ColdCapacityFraction float64       `json:"ColdFrom"`     // fraction of the full speed that the node has right after a cold start
 	WarmUpDuration       time.Duration `json:"ColdFor"`      // time from a cold start in which the speed rises linearly to the full speed
-	ColdOverloadFactor   float64       `json:"FallMultiple"` // multiple of a warming node's present capacity above which the work sent to the node makes it collapse; 0: never
+	ColdOverloadFactor   float64       `json:"FallMultiple"` // a warming node collapses if the work sent to it within ColdOverloadWindow exceeds this multiple of what it can do in that time; 0: never
 	ColdOverloadWindow   time.Duration `json:"FallAfter"`    // length of the window over which the work sent to a warming node is summed
 	HandshakeWork        time.Duration `json:"Handshake"`    // extra work of the first request on a connection, on a core of speed 1
 	IdleTimeout          time.Duration `json:"IdleFor"`      // time after which an idle connection is closed; 0: never
--- a/internal/testkit/fake/node_connection.go
+++ b/internal/testkit/fake/node_connection.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	messageTimeout = 5 * time.Second       // time limit for reading the rest of a request, and for writing a response
+	messageTimeout = 5 * time.Second       // time limit for reading a request after its first byte, and for writing a response
 	maxBodyBytes   = 64 << 10              // largest number of bytes that are read of the body of a request or response
 	acceptBackoff  = 10 * time.Millisecond // wait before Accept is retried, since it fails at once while no file descriptor is free
 )
--- a/internal/testkit/fake/node_overload.go
+++ b/internal/testkit/fake/node_overload.go
@@ -12,7 +12,7 @@
 // it has been mostly idle for RecoverAfter, or after MaxDuration at the latest. Each incarnation of a node is overloaded at most
 // once. The JSON tags give the names that the fields have in printed plans.
 type OverloadSpec struct {
-	Threshold    float64       `json:"At"`     // the node is overloaded once its load exceeds Cores + Threshold * sqrt(Cores)
+	Threshold    float64       `json:"At"`     // the node is overloaded once more than Cores + Threshold * sqrt(Cores) requests on average wait for a slot or core or use a core
 	AveragedOver time.Duration `json:"Over"`   // time constant of the load's exponential moving average
 	Slowdown     float64       `json:"Slower"` // factor by which an overloaded node is slower than otherwise
 	RecoverAfter time.Duration `json:"Rest"`   // time for which an overloaded node must be mostly idle to recover
@@ -20,8 +20,9 @@
 	MaxDuration  time.Duration `json:"Most"`   // time after which an overloaded node recovers in any case
 }
 
-// ColdOverloadTolerance is the fraction by which the work sent to a warming node may exceed ColdOverloadFactor times the node's
-// capacity before the node collapses. It allows for requests that arrive at random.
+// ColdOverloadTolerance is the fraction by which the work sent to a warming node within ColdOverloadWindow may exceed
+// ColdOverloadFactor times the work that the node can do in that time, before the node collapses. It allows for requests that
+// arrive at random.
 const ColdOverloadTolerance = 0.1
 
 const (
--- a/internal/testkit/fake/node_overload_test.go
+++ b/internal/testkit/fake/node_overload_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// TestNodeCollapsesWhenInvariantIsBroken checks that a fake node collapses under the same load that the invariant checker
-// counts as an overload.
+// TestNodeCollapsesWhenInvariantIsBroken checks that a fake node that is warming up collapses under the load that the invariant
+// checker reports as an overload of a warming node, and not under a lower one.
 func TestNodeCollapsesWhenInvariantIsBroken(t *testing.T) {
 	rules := invariant.Rules{Classes: []invariant.Class{{Name: "read"}}, ColdOverloadFactor: 4, ColdOverloadWindow: 3 * time.Second,
 		ColdOverloadTolerance: ColdOverloadTolerance}
--- a/internal/testkit/fake/node_request.go
+++ b/internal/testkit/fake/node_request.go
@@ -30,8 +30,9 @@
 	return true
 }
 
-// startRequest records a request and starts a goroutine that responds to it, so that serveConnection can notice meanwhile if the
-// client closes the connection. It reports whether serveConnection must continue to read from the connection.
+// startRequest records that the node received a request and starts a goroutine that responds to it, so that serveConnection can
+// notice meanwhile if the client closes the connection. It reports whether serveConnection must continue to read from the
+// connection.
 func (n *Node) startRequest(c *nodeConnection, received receivedRequest) bool {
 	request, ok := n.registry.lookup(received.id)
 	if !ok {
--- a/internal/testkit/fake/node_test.go
+++ b/internal/testkit/fake/node_test.go
@@ -67,7 +67,7 @@
 	return id
 }
 
-// dial opens a connection to the node that is closed at the end of the test.
+// dial opens a connection to the node. The connection is closed at the end of the test.
 func (f *nodeFixture) dial(t *testing.T) net.Conn {
 	t.Helper()
 	nc, err := net.Dial("tcp", f.Addr)
--- a/internal/testkit/fake/registry.go
+++ b/internal/testkit/fake/registry.go
@@ -39,7 +39,7 @@
 	key   string // idempotency key; empty: none
 }
 
-// Registry maps the ID of every request that clients have sent to its properties. It keeps requests until the end of the
+// Registry holds the properties of every request that clients have sent, by request ID. It keeps requests until the end of the
 // simulation, since an attempt may reach a node long after its request ended; the schedule of the simulation bounds the number of
 // requests. Registry is safe for concurrent use, and its zero value is empty.
 type Registry struct{ requests sync.Map }
--- a/internal/testkit/invariant/checker.go
+++ b/internal/testkit/invariant/checker.go
@@ -32,9 +32,9 @@
 	MaxAttempts           int           // largest number of attempts allowed for a request; 0: unlimited
 	Tolerance             time.Duration // time by which an event may exceed each time limit, since events are observed late
 	DrainGrace            time.Duration // time after the notification that a node is draining or gone in which attempts may still go to the node
-	ColdOverloadFactor    float64       // multiple of a warming node's present capacity above which the work sent to the node overloads it
+	ColdOverloadFactor    float64       // a warming node is overloaded if the work sent to it within ColdOverloadWindow exceeds this multiple of what it can do in that time
 	ColdOverloadWindow    time.Duration // length of the window over which the work sent to a warming node is summed
-	ColdOverloadTolerance float64       // fraction by which work may exceed the limit that ColdOverloadFactor sets, since requests arrive at random
+	ColdOverloadTolerance float64       // fraction by which the work sent to a warming node may exceed the limit that ColdOverloadFactor sets, since requests arrive at random
 	SigtermGrace          time.Duration // time after SIGTERM in which a sidecar must still answer each request that it accepts
 }
 
@@ -161,8 +161,8 @@
 	}
 }
 
-// countOccasion adds 1 to a rule's count of the named occasion, a situation that the rule's result reports. It does not count the
-// occasion as a test of the rule.
+// countOccasion adds 1 to a rule's count of the named occasion, a situation that the rule's result reports. Unlike
+// countOccasionAsTest, it does not count the occasion as one in which a sidecar could have broken the rule.
 func (c *checker) countOccasion(rule int, name string) { c.report.Rules[rule-1].Occasions[name]++ }
 
 // countOccasionAsTest adds 1 to a rule's count of the named occasion, and counts the occasion as a test of the rule: a situation in
--- a/internal/testkit/invariant/checker_test.go
+++ b/internal/testkit/invariant/checker_test.go
@@ -129,8 +129,8 @@
 	return true
 }
 
-// TestArbitraryTimelineNeverHoldsAnUntestedRule checks that Check does not panic on any timeline, and that it
-// reports no rule as held that no event could have broken.
+// TestArbitraryTimelineNeverHoldsAnUntestedRule checks that Check does not panic on any timeline, and that it never
+// reports a rule as held if no event of the timeline could have broken the rule.
 func TestArbitraryTimelineNeverHoldsAnUntestedRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nameGenerator := rapid.SampledFrom([]string{"", "a", "b", "s"})
--- a/internal/testkit/invariant/cold_overload.go
+++ b/internal/testkit/invariant/cold_overload.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// recentWork returns the work of the recent attempts, in seconds, and the part of it that came from sidecars that were
-// notified of the node's start.
+// recentWork returns the work, in seconds, of the attempts that a warming node received within the latest ColdOverloadWindow,
+// and the part of it that came from sidecars that were notified of the node's start.
 func (n *nodeState) recentWork() (totalWork, informedWork float64) {
 	for _, s := range n.recentAttempts {
 		totalWork += s.work
@@ -81,8 +81,8 @@
 	return totalWork, informedWork
 }
 
-// causedByInformedSidecars reports whether enough of the work on an overloaded warming node came from sidecars that were notified
-// of the node's start. If not, it counts the overload as an occasion that does not break the rule.
+// causedByInformedSidecars reports whether at least minInformedFraction of the recent work on an overloaded warming node came from
+// sidecars that were notified of the node's start. If not, it counts the overload as an occasion that does not break the rule.
 func (c *checker) causedByInformedSidecars(node *nodeState) bool {
 	if totalWork, informedWork := node.recentWork(); informedWork < minInformedFraction*totalWork {
 		c.countOccasion(ruleNoColdOverload, "pushed by sidecars not yet told of the start")
@@ -91,8 +91,8 @@
 	return true
 }
 
-// applyNodeCollapsed reports a violation for a warming node that recorded its own collapse, unless an overload of it was
-// found already.
+// applyNodeCollapsed reports a violation for a warming node that recorded its own collapse, unless an overload of the node was
+// found already or was not caused by sidecars that were notified of the node's start.
 func (c *checker) applyNodeCollapsed(e *Event) {
 	c.report.Collapses++
 	node := c.node(e.Node)
--- a/internal/testkit/invariant/double_effect.go
+++ b/internal/testkit/invariant/double_effect.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// applyEffectStarted counts the duplicates that nodes dropped: attempts at requests with an idempotency key of which an
-// earlier attempt had taken effect.
+// applyEffectStarted counts an attempt that a node dropped as a duplicate, since the node's cell had begun to execute an earlier
+// attempt with the same idempotency key.
 func (c *checker) applyEffectStarted(e *Event) {
 	if e.IsDuplicate {
 		c.countOccasion(ruleNoDoubleEffect, "repeats that nodes dropped")
--- a/internal/testkit/invariant/final_response.go
+++ b/internal/testkit/invariant/final_response.go
@@ -15,8 +15,8 @@
 )
 
 // applyRequestSent records that a client sent a request. The client sends the request a second time if a reused connection ended
-// before a response. A sidecar may close a connection between two requests, so that is a violation only if the sidecar had sent an
-// attempt at the request already, and the request is not one that may be lost.
+// before a response. A sidecar may close a connection between two requests, so sending a second time shows a violation only if the
+// sidecar had already sent an attempt at the request, and was not killed in a way that lets the request remain without a response.
 func (c *checker) applyRequestSent(e *Event) {
 	request := c.request(e.Request)
 	if request.wasSent {
--- a/internal/testkit/invariant/report.go
+++ b/internal/testkit/invariant/report.go
@@ -73,7 +73,7 @@
 	return r.Crashes == 0 && !slices.ContainsFunc(r.Rules[:], func(rule RuleResult) bool { return rule.Verdict == Broken })
 }
 
-// setVerdicts derives the verdict on each rule from its counts.
+// setVerdicts derives the verdict on each rule from its numbers of violations and of occasions that could have broken it.
 func (r *Report) setVerdicts() {
 	for i := range r.Rules {
 		rule := &r.Rules[i]
--- a/internal/testkit/invariant/timeline_test.go
+++ b/internal/testkit/invariant/timeline_test.go
@@ -45,7 +45,7 @@
 	return append(l, Event{At: at, FirstByteAt: at - ms, Kind: AttemptReceived, Request: id, Node: node, Cell: cell, Work: 0.1})
 }
 
-// end appends an event of a kind that ends a request, or an attempt if the node is given.
+// end appends an event that ends something: an attempt if node is set, or the request if node is empty. kind says how it ends.
 func (l timeline) end(at time.Duration, kind Kind, id, node string) timeline {
 	return append(l, Event{At: at, Kind: kind, Request: id, Node: node})
 }
@@ -190,7 +190,7 @@
 	{"burst within the budget of a warming node", 4, "", coldStart(30)},
 	{"burst from a sidecar that was not notified of the start", 4, "", func() timeline {
 		l := coldStart(45)
-		l[1].StartedAt = 0 // the sidecar was notified of the start of an earlier incarnation only
+		l[1].StartedAt = 0 // the sidecar was notified only of an earlier start of the node
 		return l
 	}()},
 	{"burst on a warm node", 4, "", func() timeline {
--- a/internal/testkit/loadgen/report.go
+++ b/internal/testkit/loadgen/report.go
@@ -73,7 +73,8 @@
 	return json.NewEncoder(w).Encode(f)
 }
 
-// Read decodes a result that Write has written. It returns an error if the text has another version than Format, or lacks a histogram.
+// Read decodes a result that Write has written. It returns an error if the text does not have the version FormatVersion, is not the
+// result of a load test, or lacks a histogram.
 func Read(text []byte) (*Result, error) {
 	var f resultFile
 	if err := json.Unmarshal(text, &f); err != nil {
--- a/internal/testkit/loadgen/report_test.go
+++ b/internal/testkit/loadgen/report_test.go
@@ -15,8 +15,8 @@
 func TestMergeEqualsASingleRun(t *testing.T) {
 	type request struct {
 		dueMs          int  // milliseconds from the start of the run to the instant at which the request is due
-		durationMs     int  // milliseconds from the write of the request to its end
-		latenessMs     int  // milliseconds from the instant at which the request is due to its write
+		durationMs     int  // milliseconds from the writing of the request to the request's end
+		latenessMs     int  // milliseconds by which the request is written later than it is due
 		status         int  // HTTP status; 0: the request failed
 		isInSecondPart bool // whether the request is counted in the second of the two merged results
 	}
--- a/internal/testkit/loadgen/result.go
+++ b/internal/testkit/loadgen/result.go
@@ -18,12 +18,12 @@
 	NotSent   int64 // number of requests that were not sent, since all connections were in use
 	Resent    int64 // number of requests that the transport sent again, since a reused connection had been closed
 
-	// LatencyByOutcome holds the times from when a request was due to its end, by HTTP status ("200"), or by Response.Failure
+	// LatencyByOutcome holds the times from a request's due instant to its end, by HTTP status ("200"), or by Response.Failure
 	// for requests without a complete response.
 	LatencyByOutcome map[string]*schedule.LatencyHistogram
-	Latency          *schedule.LatencyHistogram // times from when a request was due to its complete response, whatever the status
-	ServiceTime      *schedule.LatencyHistogram // times from when a request was written to its complete response
-	SendLateness     *schedule.LatencyHistogram // times from when a request was due to when the generator had written it
+	Latency          *schedule.LatencyHistogram // times from a request's due instant to its complete response, whatever the status
+	ServiceTime      *schedule.LatencyHistogram // times from the writing of a request to its complete response
+	SendLateness     *schedule.LatencyHistogram // times by which the generator wrote requests later than they were due
 	Seconds          []Second                   // measurements of the requests that were due in each second of the run; Seconds[0] is for the first second
 
 	Interrupted   bool   // whether the run was ended before Options.Duration had passed
@@ -43,7 +43,7 @@
 type Second struct {
 	Scheduled int64                      // number of requests that were due, sent or not
 	NotSent   int64                      // number of requests that were due but not sent, since all connections were in use
-	Latency   *schedule.LatencyHistogram // times from when a request was due to its complete response, whatever the status
+	Latency   *schedule.LatencyHistogram // times from a request's due instant to its complete response, whatever the status
 }
 
 func newResult(o Options) *Result {
@@ -95,7 +95,7 @@
 	r.LatencyByOutcome[outcome].Record(endedAt.Sub(due))
 }
 
-// checkSendLateness sets r.Invalid if the p99 of SendLateness exceeds Options.MaxSendLateness.
+// checkSendLateness sets r.InvalidReason if the p99 of SendLateness exceeds Options.MaxSendLateness.
 func (r *Result) checkSendLateness() {
 	if p99 := r.SendLateness.Quantile(0.99); p99 > r.Options.MaxSendLateness {
 		r.InvalidReason = fmt.Sprintf("the generator itself was late by %v (p99), %v are allowed: this machine, not the server, is the limit", p99.Round(10*time.Microsecond), r.Options.MaxSendLateness)
--- a/internal/testkit/loadgen/run.go
+++ b/internal/testkit/loadgen/run.go
@@ -40,13 +40,13 @@
 	Process         schedule.Process // arrival process of the requests
 	Seed            uint64           // seed of the instants at which requests are due; may be 0
 	Duration        time.Duration    // time during which requests are sent
-	ResponseTimeout time.Duration    // longest time from when a request is due to the end of its response
+	ResponseTimeout time.Duration    // longest time from a request's due instant to the end of its response
 	Connections     int              // highest number of requests in flight, each on its own connection; requests that become due while so many are in flight are not sent
 	MaxSendLateness time.Duration    // p99 of Result.SendLateness above which the result is invalid; 0: defaultMaxSendLateness
 }
 
-// defaultMaxSendLateness is used if Options.MaxSendLateness is 0. It is short enough for latencies of tens of milliseconds to be
-// measured.
+// defaultMaxSendLateness is the p99 of Result.SendLateness above which a result is invalid if Options.MaxSendLateness is 0. It is
+// short enough for latencies of tens of milliseconds to be measured.
 const defaultMaxSendLateness = 10 * time.Millisecond
 
 // randStream is the second half of the random generator's seed, so that the schedule differs from other random numbers that are drawn
--- a/internal/testkit/loadgen/run_test.go
+++ b/internal/testkit/loadgen/run_test.go
@@ -273,7 +273,7 @@
 	}
 }
 
-// lateSender is a Sender whose requests are all written late by the same time and get their responses at once.
+// lateSender is a Sender that writes every request with the same delay and gets the response at once.
 type lateSender struct{ lateness time.Duration }
 
 func (s lateSender) Send(context.Context, int64) Response {
--- a/internal/testkit/schedule/schedule.go
+++ b/internal/testkit/schedule/schedule.go
@@ -83,8 +83,8 @@
 	if bound <= 0 || math.IsInf(bound, 0) || math.IsNaN(bound) {
 		return nil, fmt.Errorf("an arrival rate of up to %v per second is not positive and finite", bound)
 	}
-	// The upper bound of the rate may exceed the mean rate by far, so a mix is rejected before any arrival is drawn only if over four
-	// times MaxArrivals are expected at that bound.
+	// The upper bound of the rate may exceed the mean rate by far. Therefore a mix is rejected here, before any arrival is drawn, only
+	// if a constant rate at that bound would give more than four times MaxArrivals.
 	if expectedCandidates := bound * m.Length.Seconds(); expectedCandidates > 4*float64(m.MaxArrivals) {
 		return nil, fmt.Errorf("the schedule may have up to %.0f arrivals, far more than the limit of %d", expectedCandidates, m.MaxArrivals)
 	}
--- a/internal/testkit/schedule/schedule_test.go
+++ b/internal/testkit/schedule/schedule_test.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var countPer10s [3]float64 // number of arrivals in each third of the run, which is 10 s long
+	var countPer10s [3]float64 // number of arrivals in each 10 s of the run
 	firstClassCount := 0.0     // number of arrivals of class 0
 	for _, a := range arrivals {
 		countPer10s[a.At/(10*time.Second)]++
--- a/internal/testkit/schedule/stream.go
+++ b/internal/testkit/schedule/stream.go
@@ -57,8 +57,8 @@
 	Off  time.Duration // mean length of OnOff's phases without arrivals; unused for other gaps
 }
 
-// maxRate is the highest rate of a Curve, in arrivals per second. At higher rates too many arrivals would fall on the same
-// nanosecond, in which instants are counted.
+// maxRate is the highest rate of a Curve, in arrivals per second. Instants are whole nanoseconds, so at higher rates too many
+// arrivals would have the same instant.
 const maxRate = 1_000_000
 
 // Stream generates the arrivals of a Process one by one, in order of time, without storing them.
@@ -66,7 +66,7 @@
 	process Process
 	rng     *rand.Rand
 
-	hasDrawnFirstGap bool    // whether the first gap of Even has been drawn
+	hasDrawnFirstGap bool    // whether drawGap has returned the first gap of a process with Even gaps
 	now              float64 // seconds from the start of the run up to which arrivals have been generated
 	nextPoint        int     // index of the first point of the rate curve after the instant up to which arrivals have been generated
 	isOn             bool    // whether the present phase of OnOff has arrivals
--- a/internal/testkit/schedule/stream_test.go
+++ b/internal/testkit/schedule/stream_test.go
@@ -67,8 +67,8 @@
 // ksCriticalValue returns the value that the Kolmogorov-Smirnov statistic of n samples exceeds by chance once in a thousand times.
 func ksCriticalValue(n int) float64 { return 1.95 / math.Sqrt(float64(n)) }
 
-// Every distribution of gaps gives the right number of arrivals, the right dispersion of their counts, and gaps that pass a
-// Kolmogorov-Smirnov test.
+// Every distribution of gaps gives the right number of arrivals and the right dispersion of the number of arrivals per second.
+// Exponential and Pareto gaps also pass a Kolmogorov-Smirnov test, and even gaps differ by at most 3 ns.
 func TestStreamArrivalsHaveTheExpectedStatistics(t *testing.T) {
 	const rate, length = 400.0, 500 * time.Second
 	const wantCount = rate * 500
