--- a/internal/body/memory_budget.go
+++ b/internal/body/memory_budget.go
@@ -33,7 +33,7 @@
 	return &MemoryBudget{total: total, bufferedReserve: bufferedReserve, waiting: map[int]*list.Element{}}
 }
 
-// Fits reports whether the size could be granted if nothing else were in use.
+// Fits reports whether the requested memory could be granted if no other body held any memory.
 func (b *MemoryBudget) Fits(s MemoryRequest) bool {
 	return s.Bytes >= 0 && s.Bytes <= b.total && (!s.IsStreaming || s.Bytes <= b.total-b.bufferedReserve)
 }
@@ -49,7 +49,7 @@
 	return b.lastID, false
 }
 
-// Release releases granted memory, grants queued requests as far as they fit now, and returns their IDs.
+// Release takes back the memory that a body was granted. It grants those queued requests that fit now, and returns their IDs.
 func (b *MemoryBudget) Release(s MemoryRequest) []int {
 	b.used -= s.Bytes
 	if s.IsStreaming {
@@ -58,8 +58,8 @@
 	return b.grantWaiting()
 }
 
-// Cancel removes a queued request, grants other queued requests as far as they fit now, and returns their IDs. ok is false if
-// the request is not queued any more.
+// Cancel removes a queued request, grants those other queued requests that fit now, and returns their IDs. ok is false if the
+// request is not queued any more.
 func (b *MemoryBudget) Cancel(id int) (granted []int, ok bool) {
 	e := b.waiting[id]
 	if e == nil {
@@ -83,7 +83,8 @@
 	return &b.bufferedQueue
 }
 
-// tryGrant grants the memory if it is free. A streaming body gets no memory while a buffered body waits.
+// tryGrant grants the requested memory if enough is free, and reports whether it did. A streaming body gets no memory while a
+// buffered body waits.
 func (b *MemoryBudget) tryGrant(s MemoryRequest) bool {
 	if b.used+s.Bytes > b.total {
 		return false
--- a/internal/body/memory_budget_test.go
+++ b/internal/body/memory_budget_test.go
@@ -11,7 +11,7 @@
 type budgetModel struct {
 	budget           *MemoryBudget
 	total, reserve   int                   // arguments of NewMemoryBudget, in bytes
-	sizes            map[int]MemoryRequest // sizes of all requests, by ID
+	sizes            map[int]MemoryRequest // all requests for memory, by ID
 	waiting, granted []int                 // IDs of requests, the waiting ones in the order in which they were made
 }
 
@@ -61,8 +61,8 @@
 	}
 }
 
-// check compares the memory in use with the granted requests, and fails if the oldest waiting request of a kind could be
-// granted.
+// check compares the memory that InUse returns with the sum of the granted requests. It also fails if the oldest waiting
+// request for a buffered or for a streaming body could be granted.
 func (m *budgetModel) check(t *rapid.T) {
 	used, usedByStreaming := 0, 0
 	for _, id := range m.granted {
--- a/internal/body/memory_pool.go
+++ b/internal/body/memory_pool.go
@@ -14,10 +14,10 @@
 // streaming bodies, which hold their memory for longer, could take all of it.
 const bufferedReserveDivisor = 4
 
-// ErrExceedsMemory is returned for a size that the MemoryPool can never grant.
+// ErrExceedsMemory is returned for a request for more memory than the MemoryPool can ever grant.
 var ErrExceedsMemory = errors.New("more than the memory for bodies")
 
-// bufferRequest is the Size of the memory that one streaming body needs: its buffer.
+// bufferRequest is the request for the memory that one streaming body needs: a buffer of BufferSize bytes.
 var bufferRequest = MemoryRequest{Bytes: BufferSize, IsStreaming: true}
 
 // MemoryPool limits the memory that all bodies of a process hold together. It is safe for concurrent use.
@@ -39,7 +39,7 @@
 }
 
 // Acquire acquires memory for a body. It waits until the memory is granted, and returns ctx's error if ctx ends first. Free
-// memory is granted even if ctx has already ended. The error wraps ErrExceedsMemory for a size that can never be granted.
+// memory is granted even if ctx has already ended. The error wraps ErrExceedsMemory for a request that can never be granted.
 // Acquired memory must be released with Release exactly once.
 func (p *MemoryPool) Acquire(ctx context.Context, s MemoryRequest) error {
 	p.mu.Lock()
@@ -86,7 +86,7 @@
 	}
 }
 
-// InUse returns how many bytes are acquired, and how many bodies are waiting for memory.
+// InUse returns how many bytes the pool has granted to bodies, and how many bodies are waiting for memory.
 func (p *MemoryPool) InUse() (bytes, waiting int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/body/minimum_rate.go
+++ b/internal/body/minimum_rate.go
@@ -7,7 +7,7 @@
 	// IdleTimeout is the maximum time without a byte from the peer, and the maximum time by which the peer may fall behind
 	// BytesPerSecond.
 	IdleTimeout time.Duration
-	// BytesPerSecond is the minimum average rate; 0 means that only IdleTimeout applies.
+	// BytesPerSecond is the minimum average rate of the body in bytes per second; 0 means that only IdleTimeout applies.
 	BytesPerSecond int64
 }
 
@@ -32,13 +32,13 @@
 	return max(m.credit, 0)
 }
 
-// deadlineSlackDivisor limits how early a connection's deadline may be: Deadline keeps the previous deadline if it is early by
-// at most MaxWait/deadlineSlackDivisor. The deadline is not set for every wait, since setting it costs as much as transferring
-// a small part of a body.
+// deadlineSlackDivisor limits how long Deadline keeps a connection's previous deadline instead of a new one: as long as the
+// previous one is at most MaxWait/deadlineSlackDivisor earlier. Setting a new deadline for every wait would cost too much: as
+// much as transferring a small part of a body.
 const deadlineSlackDivisor = 8
 
-// MinWait returns the shortest wait that the result of Deadline allows. It is shorter than MaxWait, because Deadline may keep a
-// deadline that is early by up to MaxWait/deadlineSlackDivisor.
+// MinWait returns the shortest wait for the peer that the result of Deadline allows. It is shorter than MaxWait, because
+// Deadline may return its previous result, which is up to MaxWait/deadlineSlackDivisor earlier than a new deadline.
 func (m *Meter) MinWait() time.Duration {
 	return m.MaxWait() - m.MaxWait()/deadlineSlackDivisor
 }
@@ -55,7 +55,7 @@
 	return at, true
 }
 
-// Record records that n bytes were transferred after the given time of waiting for the peer.
+// Record records that n bytes were transferred after a wait for the peer that took the time waited.
 func (m *Meter) Record(n int, waited time.Duration) {
 	if m.rate.BytesPerSecond <= 0 {
 		return
--- a/internal/body/minimum_rate_test.go
+++ b/internal/body/minimum_rate_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// A peer that keeps the minimum rate is never found too slow, and a peer below the rate is found too slow once it has fallen
-// behind by IdleTimeout. A pause shorter than IdleTimeout is allowed.
+// A Meter never takes a peer that keeps the minimum rate for too slow. It takes a peer below the rate for too slow once the
+// peer has fallen behind the rate by IdleTimeout. A pause shorter than IdleTimeout is allowed.
 func TestMeterEnforcesMinimumRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		minimum := MinimumRate{
--- a/internal/body/read_test.go
+++ b/internal/body/read_test.go
@@ -10,7 +10,7 @@
 // Only io.EOF itself ends a body. An error that wraps it means that the body could not be read to its end.
 func TestWrappedEOFIsNotEndOfBody(t *testing.T) {
 	for name, c := range map[string]struct {
-		endErr     error // error of the read after the last byte
+		endErr     error // error that the body returns after its last byte
 		isComplete bool  // the body should count as complete
 	}{
 		"io.EOF":              {io.EOF, true},
--- a/internal/body/upload.go
+++ b/internal/body/upload.go
@@ -18,7 +18,8 @@
 	"time"
 )
 
-// An Upload that could not be read has one of the following errors or ErrTooSlow. The texts are sent to clients.
+// Upload.Err returns one of these errors or ErrTooSlow, possibly wrapped, if the client's body could not be read. The texts are
+// sent to clients.
 var (
 	// ErrTooLong is returned for a body of more than Source.MaxBytes bytes.
 	ErrTooLong = errors.New("the body is too long")
@@ -58,14 +59,14 @@
 	failed chan struct{} // closed when the body could not be read
 
 	mu            sync.Mutex
-	readEnded     sync.Cond // signaled when a read of Source.Body has ended, or an UploadReader was closed
+	readEnded     sync.Cond // signaled when a read of Source.Body ends and when an UploadReader is closed
 	prefixLen     int       // how many of the body's first PrefixSize bytes have arrived
 	pendingPart   []byte    // part of the body that was read for an UploadReader that has been closed; the next UploadReader returns this part
 	receivedBytes int64     // bytes of the body that have arrived
 	isReading     bool      // a read of Source.Body is in progress
 	isComplete    bool      // the body's end has arrived
 	isConsumed    bool      // the body can't be sent again: bytes beyond the first PrefixSize were returned, or TakeBuffer was called
-	isStopped     bool      // no more reads are allowed
+	isStopped     bool      // no more reads of Source.Body may start
 	err           error     // why a read of the body failed; nil: none has failed
 }
 
@@ -89,8 +90,8 @@
 	return (*u.buffer)[:u.prefixLen]
 }
 
-// IsConsumed reports whether the body can't be sent again, because bytes beyond its first PrefixSize were returned or
-// TakeBuffer was called.
+// IsConsumed reports whether the body can't be sent again, because an UploadReader has returned bytes beyond its first
+// PrefixSize or TakeBuffer was called.
 func (u *Upload) IsConsumed() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -123,7 +124,7 @@
 	return u.err
 }
 
-// waitForRead waits until no read is in progress. u.mu is held before and after, but not during the wait.
+// waitForRead waits until no read of Source.Body is in progress. u.mu is held before and after, but not during the wait.
 func (u *Upload) waitForRead() {
 	for u.isReading {
 		u.readEnded.Wait()
@@ -172,7 +173,7 @@
 	u.pool.ReleaseBuffer(u.buffer)
 }
 
-// drain reads and discards the rest of the body, for at most the time linger and up to about maxBytes bytes.
+// drain reads and discards the rest of the body. It stops after the time linger, or after about maxBytes bytes.
 func (u *Upload) drain(linger time.Duration, maxBytes int64) {
 	deadline := time.Now().Add(linger)
 	for remainingBytes := maxBytes; remainingBytes > 0 && time.Now().Before(deadline); {
--- a/internal/body/upload_reader.go
+++ b/internal/body/upload_reader.go
@@ -12,7 +12,8 @@
 	isClosed bool // whether Close was called, guarded by upload.mu
 }
 
-// NewReader returns a reader that begins with the body's first byte. ok is false if the body can't be sent again.
+// NewReader returns a reader that begins with the body's first byte. ok is false if an earlier attempt has used the body so
+// that it can't be sent again.
 func (u *Upload) NewReader() (r *UploadReader, ok bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/body/upload_receive.go
+++ b/internal/body/upload_receive.go
@@ -57,7 +57,7 @@
 		r.offset = u.prefixLen
 		return part, nil
 	}
-	if part := u.pendingPart; part != nil { // after this part, which lies beyond the prefix, the body can't be sent again
+	if part := u.pendingPart; part != nil { // part is beyond the body's first PrefixSize bytes, so once it is returned, the body can't be sent again
 		u.pendingPart, u.isConsumed = nil, true
 		return part, nil
 	}
@@ -67,7 +67,7 @@
 	to := (*u.buffer)[u.prefixLen:PrefixSize]
 	isBeyondPrefix := len(to) == 0
 	switch {
-	case u.isConsumed: // the body's first bytes are not kept any more, so the whole buffer is free
+	case u.isConsumed: // the body can't be sent again, so its first bytes in the buffer may be overwritten
 		to = *u.buffer
 	case isBeyondPrefix:
 		to = (*u.buffer)[PrefixSize:]
@@ -94,8 +94,8 @@
 	return to[:n], nil
 }
 
-// readInto reads at least one byte, unless the read fails. u.mu is held before and after, but not during the read, which may
-// wait for the client.
+// readInto reads at least one byte of the body from the client, unless the read fails. u.mu is held before and after, but not
+// during the read, which may wait for the client.
 func (u *Upload) readInto(to []byte) (int, error) {
 	u.isReading = true
 	began := time.Now()
@@ -114,7 +114,7 @@
 	return n, err
 }
 
-// checkReadable returns nil if the body may be read further, and otherwise the reason why not. u.mu is held.
+// checkReadable returns nil if more of the body may be read from the client, and otherwise the reason why not. u.mu is held.
 func (u *Upload) checkReadable() error {
 	switch {
 	case u.isComplete:
--- a/internal/body/upload_test.go
+++ b/internal/body/upload_test.go
@@ -16,7 +16,7 @@
 	parts    [][]byte      // parts that have not been read yet
 	endErr   error         // error that a read returns after the last part
 	deadline time.Time     // read deadline that SetReadDeadline has set; zero: none
-	arrivals chan struct{} // each value received lets one read return; if nil, reads do not wait
+	arrivals chan struct{} // each value that a test sends lets one read return; if nil, reads do not wait
 }
 
 func (s *scriptedBody) Read(to []byte) (int, error) {
@@ -83,7 +83,7 @@
 func TestUploadCanBeResentWhileBuffered(t *testing.T) {
 	for _, row := range []struct {
 		length       int  // bytes of the body
-		isResendable bool // a second reader should return the body again
+		isResendable bool // a second UploadReader should return the body again
 	}{{10, true}, {PrefixSize - 1, true}, {PrefixSize, true}, {PrefixSize + 1, false}, {5 * BufferSize, false}} {
 		t.Run(fmt.Sprintf("%d bytes", row.length), func(t *testing.T) {
 			text := bytes.Repeat([]byte("0123456789abcdef"), row.length/16+1)[:row.length]
@@ -159,7 +159,7 @@
 	}
 }
 
-// errStalled marks a table row whose body stalls until the read deadline.
+// errStalled marks a table row whose client sends nothing, so that a read waits until the read deadline.
 var errStalled = errors.New("the body stalls")
 
 func TestUploadReportsWhyBodyFailed(t *testing.T) {
--- a/internal/cluster/ordinal/ordinal_test.go
+++ b/internal/cluster/ordinal/ordinal_test.go
@@ -7,7 +7,7 @@
 	"tuliprock/internal/cluster/swim"
 )
 
-// viewOfB returns the view of member b. The map states has the state of each member in the view by name: a, b or c.
+// viewOfB returns the cluster as member b sees it. The map states has the state of each member in the view by name: a, b or c.
 func viewOfB(connectivity swim.Connectivity, states map[string]swim.State) *swim.View {
 	v := &swim.View{Self: "b", Connectivity: connectivity}
 	for _, name := range []string{"a", "b", "c"} {
--- a/internal/cluster/status/call_test.go
+++ b/internal/cluster/status/call_test.go
@@ -11,7 +11,7 @@
 	"tuliprock/internal/cluster/consensus"
 )
 
-// serveResponses starts a server in place of a daemon's operators' address. It responds to each connection with the next of
+// serveResponses starts a server in place of a daemon's admin address. It responds to each connection with the next of
 // responses, and repeats the last one. It sends the first line of each request to the channel requests.
 func serveResponses(t *testing.T, responses ...string) (addr string, requests <-chan string) {
 	t.Helper()
@@ -40,7 +40,8 @@
 	return listener.Addr().String(), received
 }
 
-// Guards against a retry that differs from the first request: the daemons recognize a repeated command only by its ID.
+// Guards against a retry that differs from the first request. The daemons recognize a repeated command only by the ID in its
+// arguments, so a command could be carried out twice if its retry had another ID.
 func TestSendCommandRepeatsTheSameRequestWhileNoMajorityResponds(t *testing.T) {
 	indeterminate := "FAILURE wrapped: " + consensus.ErrIndeterminate.Error() + "\n"
 	addr, requests := serveResponses(t, indeterminate, indeterminate, "answer version=7 same=false\nEOT\n")
--- a/internal/cluster/status/command.go
+++ b/internal/cluster/status/command.go
@@ -15,15 +15,15 @@
 	// bodyBytesPerLine is the number of bytes of a document's body that are encoded on one line.
 	bodyBytesPerLine = 6000
 
-	// requestTimeout is the timeout of each request that SendCommand sends: for connecting, and again for the exchange. A daemon
-	// responds within one second.
+	// requestTimeout is the maximum time that SendCommand takes to connect to the daemon, and also the maximum time that it
+	// then takes to send one request and read the response. A daemon responds within one second.
 	requestTimeout = 2 * time.Second
 
 	// retryInterval is the pause between two requests that SendCommand sends for one command.
 	retryInterval = 100 * time.Millisecond
 )
 
-// HistoryEntry describes one change of the agreed documents. Its JSON form is documented for operators.
+// HistoryEntry describes one change of the documents that the cluster has agreed on. Its JSON form is documented for operators.
 type HistoryEntry struct {
 	Version     uint64 `json:"version"`        // version of the documents that the change made
 	Name        string `json:"name"`           // name of the changed document
@@ -31,24 +31,25 @@
 	SHA256      string `json:"sha256"`         // SHA-256 of the document's new body, in hexadecimal; all zeros: the document was removed
 	ProposedBy  string `json:"by"`             // name of the daemon that proposed the change
 	AtUnixMilli int64  `json:"at_ms"`          // Unix time of the proposal in milliseconds, by the clock of the proposing daemon
-	RevertedTo  uint64 `json:"back,omitempty"` // version to which the change reverted the document; 0: the change was no revert
+	RevertedTo  uint64 `json:"back,omitempty"` // version of the documents from which the change restored the document; 0: the change was no revert
 }
 
 // IsRemoval reports whether the change removed the document. In that case SHA256 is all zeros.
 func (h *HistoryEntry) IsRemoval() bool { return strings.Trim(h.SHA256, "0") == "" }
 
-// CommandResult is the result of a command on the agreed documents. Its JSON form is documented for operators.
+// CommandResult is the result of a command on the documents that the cluster has agreed on. Its JSON form is documented for
+// operators.
 type CommandResult struct {
-	Format      int            `json:"format"`            // number of the JSON format, always 1
-	Version     uint64         `json:"version"`           // version that the command made, or the latest committed version if it made none
+	Format      int            `json:"format"`            // number of the format of CommandResult's JSON form, always 1
+	Version     uint64         `json:"version"`           // version of the documents that the command made, or the latest committed version if it made none
 	IsUnchanged bool           `json:"same,omitempty"`    // whether the command had nothing to change and so made no version
-	Name        string         `json:"name,omitempty"`    // name of the document that a read requested; empty: no document was read
-	PutVersion  uint64         `json:"put,omitempty"`     // version that was made when the requested document was put
-	Body        []byte         `json:"body,omitempty"`    // body of the document that a read requested
-	History     []HistoryEntry `json:"history,omitempty"` // history that a read without a name requested, oldest change first
+	Name        string         `json:"name,omitempty"`    // name of the document that the command read; empty: it read none
+	PutVersion  uint64         `json:"put,omitempty"`     // version of the documents that was made when the document that the command read was last written
+	Body        []byte         `json:"body,omitempty"`    // body of the document that the command read
+	History     []HistoryEntry `json:"history,omitempty"` // changes of the documents that a command to read the history requested, oldest first
 }
 
-// WriteResult writes the lines of a command's result, but not the line that ends the response.
+// WriteResult writes the lines of a command's result. The admin server writes the line that ends the response.
 func WriteResult(w io.Writer, r consensus.CommandResult) error {
 	if _, err := fmt.Fprintf(w, "answer version=%d same=%v\n", r.Version, r.Unchanged); err != nil {
 		return err
@@ -75,7 +76,7 @@
 	return nil
 }
 
-// parseLine parses a line that WriteResult wrote, and adds its content to r.
+// parseLine parses a line that WriteResult wrote, and sets the fields of the command's result r that the line contains.
 func (r *CommandResult) parseLine(line string) error {
 	var h HistoryEntry
 	var encodedBody string
@@ -105,10 +106,11 @@
 // Unwrap returns the error of the last request that SendCommand sent.
 func (e IndeterminateError) Unwrap() error { return e.error }
 
-// SendCommand sends a command on the agreed documents to the daemon whose operators' address is addr. The command consists of the
-// arguments that follow "settings" on the request line, and the body of a put. While no majority of the voters responds,
-// SendCommand retries with the same arguments, which must contain an ID if the command must not be carried out twice. It returns
-// an IndeterminateError if there is no result within retryFor, and any other error at once.
+// SendCommand sends a command on the documents that the cluster has agreed on to the daemon whose admin address is addr. The
+// command consists of args, which follow the word settings on the request line, and of body, the new body of a document that
+// the command writes. While no majority of the voters responds, SendCommand retries with the same arguments. If the command
+// must not be carried out twice, the arguments must contain an ID. SendCommand returns an IndeterminateError if there is no
+// result within retryFor, and any other error at once.
 func SendCommand(addr string, args []string, body []byte, retryFor time.Duration) (*CommandResult, error) {
 	deadline := time.Now().Add(retryFor)
 	for {
--- a/internal/cluster/status/doc.go
+++ b/internal/cluster/status/doc.go
@@ -1,6 +1,6 @@
-// Package status implements the text protocol with which a daemon reports its view of the cluster and the settings agreed
-// on by the cluster, on the operators' address. The daemon writes each of Fleet, Settings and CommandResult as lines of
-// key=value fields, which the command line and the tests parse. The command line prints the same types as JSON with --json.
+// Package status implements the text protocol with which a daemon reports its view of the cluster and the settings agreed on by
+// the cluster, on its admin address. The daemon writes each of Fleet, Settings and CommandResult as lines of key=value fields,
+// which the operators' commands and the tests parse. With --json, these commands print the same types as JSON.
 //
 // Operators and their scripts read the lines and the JSON keys: these never change, and only new ones are added. A reader
 // ignores unknown lines and fields, so that a later version may send more.
--- a/internal/cluster/status/protocol.go
+++ b/internal/cluster/status/protocol.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// endOfResponse is the line that ends a response. The server of the operators' address writes it.
+	// endOfResponse is the line that ends a response. The admin server of a daemon writes it.
 	endOfResponse = "EOT"
 
 	// failurePrefix starts the line that a daemon sends instead of a response if it could not carry out the request. The
@@ -24,7 +24,7 @@
 	failurePrefix = "FAILURE "
 
 	// maxResponseLines is the maximum number of lines of a response: one for each member of the largest cluster, one for the
-	// daemon, and the end.
+	// responding daemon, and endOfResponse.
 	maxResponseLines = swim.MaxMembers + 2
 )
 
@@ -34,14 +34,14 @@
 // Error returns the reason in the words of the daemon.
 func (e daemonError) Error() string { return string(e) }
 
-// Is reports whether the daemon's error was consensus.ErrIndeterminate. It compares the text, because the protocol
+// Is reports whether the error that the daemon sent was consensus.ErrIndeterminate. It compares the text, because the protocol
 // transfers only the text of an error.
 func (e daemonError) Is(target error) bool {
 	return target == consensus.ErrIndeterminate && strings.Contains(string(e), target.Error())
 }
 
-// query sends a request line and a body to addr, the operators' address of a daemon, and passes the lines of the response
-// to parseLine. Connecting may take up to timeout, and the exchange on the connection may again take up to timeout.
+// query sends a request line and a body to addr, the admin address of a daemon, and passes the lines of the response to
+// parseLine. Connecting may take up to timeout, and the exchange on the connection may again take up to timeout.
 func query(addr, request string, body []byte, timeout time.Duration, parseLine func(line string) error) error {
 	conn, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// readResponse passes the lines of a response before endOfResponse to parseLine. It returns a daemonError if the daemon
-// reports a failure, and another error if the response is truncated.
+// readResponse passes each line of a response to parseLine, up to the line endOfResponse. It returns a daemonError if the
+// daemon reports a failure, and another error if the response is truncated.
 func readResponse(r io.Reader, parseLine func(line string) error) error {
 	scanner := bufio.NewScanner(r)
 	for n := 0; scanner.Scan() && n < maxResponseLines; n++ {
@@ -80,8 +80,8 @@
 	return errors.New("the response has no end line")
 }
 
-// lineFields maps the first word of a line and the key of a field to the pointer through which parseFields assigns the
-// field's value.
+// lineFields tells parseFields where to store the fields of a response line. For each first word of a line, it has a map from
+// the key of a field to a pointer to the variable that gets the field's value.
 type lineFields map[string]map[string]any
 
 // parseFields parses a line, which consists of a first word and fields of the form key=value. It ignores first words and
--- a/internal/cluster/status/settings.go
+++ b/internal/cluster/status/settings.go
@@ -7,62 +7,64 @@
 	"time"
 )
 
-// Settings is the state of the agreed documents at one daemon. Its JSON form is documented for operators.
+// Settings describes on which version of the cluster's agreed documents one daemon acts, and what it knows of other versions.
+// Its JSON form is documented for operators.
 type Settings struct {
-	Format              int             `json:"format"`             // number of the JSON format, always 1
+	Format              int             `json:"format"`             // number of the format of Settings' JSON form, always 1
 	ActiveVersion       uint64          `json:"version"`            // version of the documents on which this daemon acts
 	HasLease            bool            `json:"acting"`             // whether this daemon has a valid lease on ActiveVersion
-	LeaseMs             int64           `json:"lease_ms"`           // remaining time of this daemon's lease, in milliseconds; 0: it has expired
+	LeaseMs             int64           `json:"lease_ms"`           // remaining time of this daemon's lease, in milliseconds; 0: the daemon has no valid lease
 	IsVoter             bool            `json:"votes"`              // whether this daemon runs a voter that is not a learner
-	IsLeader            bool            `json:"leads"`              // whether this daemon's voter takes itself for the leader
-	Leader              string          `json:"leader"`             // name of the voter that granted this daemon its latest lease, or to which this daemon sent a lease request after that
-	AppliedVersion      uint64          `json:"committed"`          // latest version that this daemon's voter has applied; 0: it runs no voter
-	PendingVersion      uint64          `json:"coming"`             // version to be activated next, as far as this daemon's voter knows; 0: it runs no voter
-	Term                uint64          `json:"term"`               // latest raft term that this daemon's voter has seen; 0: it runs no voter
-	OldestActiveVersion uint64          `json:"all"`                // oldest version on which a daemon of the cluster may still act; 0: not known
-	RejectedVersion     uint64          `json:"declined,omitempty"` // latest version on which this daemon can't act; 0: none
+	IsLeader            bool            `json:"leads"`              // whether this daemon's voter is the raft leader, as far as the voter knows
+	Leader              string          `json:"leader"`             // name of the voter that this daemon takes for the leader: the one that granted its latest lease or, if a lease request got no grant since then, the voter that got the next request
+	AppliedVersion      uint64          `json:"committed"`          // latest version of the documents that this daemon's voter has applied; 0: the daemon runs no voter
+	PendingVersion      uint64          `json:"coming"`             // version on which the daemons are to act next, as far as this daemon's voter knows; 0: this daemon runs no voter
+	Term                uint64          `json:"term"`               // latest raft term that this daemon's voter has seen; 0: the daemon runs no voter
+	OldestActiveVersion uint64          `json:"all"`                // oldest version of the documents on which any daemon of the cluster may still act; 0: not known
+	RejectedVersion     uint64          `json:"declined,omitempty"` // latest version of the documents on which this daemon can't act; 0: none
 	RejectionReason     string          `json:"why,omitempty"`      // why this daemon can't act on RejectedVersion
 	RejectedRequests    uint64          `json:"refused"`            // number of client requests that this daemon rejected because it had no valid lease
 	KnownVoters         string          `json:"voters"`             // names of the voters from which this daemon may request a lease, separated by commas
 	ActiveVoters        string          `json:"sitting"`            // names of the daemons that vote, as a leader last reported them, separated by commas
-	LaggingDaemons      []LaggingDaemon `json:"lags"`               // daemons that do not act on the latest version yet, so that the leader waits for them
-	Documents           []Document      `json:"documents"`          // agreed documents, without their bodies
+	LaggingDaemons      []LaggingDaemon `json:"lags"`               // daemons that delay the activation of a version, or that do not act on the active version yet
+	Documents           []Document      `json:"documents"`          // documents that the cluster has agreed on, without their bodies
 }
 
-// LaggingDaemon is a daemon for which the leader waits, since the daemon does not act on the latest version yet.
+// LaggingDaemon is a daemon that delays the activation of a version of the documents, or that does not act on the active
+// version yet.
 type LaggingDaemon struct {
-	Name   string `json:"daemon"` // name of the daemon for which the leader waits
-	Reason string `json:"why"`    // text for operators that says why the leader waits
+	Name   string `json:"daemon"` // name of the daemon that lags
+	Reason string `json:"why"`    // text for operators that says why the daemon lags
 }
 
-// Document describes an agreed document, without its body.
+// Document describes a document that the cluster has agreed on, without its body.
 type Document struct {
-	Name       string `json:"name"`    // name of the document
-	Version    uint64 `json:"version"` // version that was made when the document was put
-	ProposedBy string `json:"by"`      // name of the daemon that proposed the document
+	Name       string `json:"name"`    // name by which operators write and read the document
+	Version    uint64 `json:"version"` // version of the documents that was made when this document was last written
+	ProposedBy string `json:"by"`      // name of the daemon that proposed this version of the document
 	Bytes      int    `json:"bytes"`   // length of the document's body in bytes
 	SHA256     string `json:"sha256"`  // SHA-256 of the document's body, in hexadecimal
 }
 
-// FetchSettings requests the Settings of the daemon whose operators' address is addr. It returns within twice the timeout.
+// FetchSettings requests the Settings of the daemon whose admin address is addr. It returns within twice the timeout.
 func FetchSettings(addr string, timeout time.Duration) (*Settings, error) {
 	return fetchSettings(addr, "settings", timeout)
 }
 
-// FetchVersions requests the Settings without the documents from the daemon whose operators' address is addr. It returns
+// FetchVersions requests the Settings of the daemon whose admin address is addr, without the list of documents. It returns
 // within twice the timeout.
 func FetchVersions(addr string, timeout time.Duration) (*Settings, error) {
 	return fetchSettings(addr, "versions", timeout)
 }
 
-// fetchSettings requests the Settings, with the given request line, from the daemon whose operators' address is addr.
+// fetchSettings sends the request line to the daemon whose admin address is addr, and returns the Settings in the response.
 func fetchSettings(addr, request string, timeout time.Duration) (*Settings, error) {
 	s := &Settings{Format: 1, LaggingDaemons: []LaggingDaemon{}, Documents: []Document{}}
 	return s, query(addr, request, nil, timeout, s.parseLine)
 }
 
-// Write writes a line for the reporting daemon, a line for each lagging daemon and a line for each document, but not the
-// line that ends the response.
+// Write writes a line for the reporting daemon, a line for each lagging daemon and a line for each document. The admin server
+// writes the line that ends the response.
 func (s *Settings) Write(w io.Writer) error {
 	if _, err := fmt.Fprintf(w, "settings version=%d acting=%v lease_ms=%d votes=%v leads=%v leader=%s term=%d committed=%d "+
 		"coming=%d all=%d declined=%d why=%s refused=%d voters=%s sitting=%s\n",
--- a/internal/cluster/status/status_test.go
+++ b/internal/cluster/status/status_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// testMember returns a member that has been in a state since an instant of the failure detector's clock.
+// testMember returns a member that entered its state at the instant since by the failure detector's clock.
 func testMember(name, addr string, state swim.State, incarnation uint64, since time.Duration) swim.Member {
 	return swim.Member{
 		Update: swim.Update{
@@ -71,7 +71,7 @@
 	}
 }
 
-// readFleet parses a response in the same way as FetchFleet.
+// readFleet parses the lines of a daemon's response into a Fleet, as FetchFleet does.
 func readFleet(r io.Reader) (*Fleet, error) {
 	f := &Fleet{Format: 1}
 	return f, readResponse(r, f.parseLine)
--- a/internal/cluster/status/wireformat_test.go
+++ b/internal/cluster/status/wireformat_test.go
@@ -10,7 +10,7 @@
 	"tuliprock/internal/cluster/swim"
 )
 
-// Guards against changes of the written lines and of the JSON keys: operators and their scripts read both.
+// Guards against changes of the lines in a daemon's responses and of the JSON keys: operators and their scripts read both.
 func TestWrittenLinesAndJSONStayTheSame(t *testing.T) {
 	view := &swim.View{Number: 7, Self: "s1", Connectivity: swim.CutOff, ElderAddr: "127.0.0.9:1", Members: []swim.Member{
 		testMember("s1", "[::1]:7", swim.Alive, 3, time.Second),
--- a/internal/cluster/swim/gossip.go
+++ b/internal/cluster/swim/gossip.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// gossipFanout is the number of members to which each round of gossip is sent.
+	// gossipFanout is the number of members to which a node sends its updates in each round of gossip.
 	gossipFanout = 3
 
-	// gossipRoundsPerProbeInterval is the number of rounds of gossip in a ProbeInterval.
+	// gossipRoundsPerProbeInterval is the number of rounds of gossip that a node starts in a ProbeInterval.
 	gossipRoundsPerProbeInterval = 4
 
-	// retransmitFactor sets how many times a node sends an update: retransmitFactor/2 times the bit length of the cluster's
-	// size.
+	// retransmitFactor sets how many times a node sends each update: retransmitFactor/2 times the number of bits of the
+	// cluster's size as a binary number.
 	retransmitFactor = 4
 )
 
@@ -21,7 +21,7 @@
 // of times. The updates that were sent least often are sent first.
 type broadcastQueue struct {
 	byMemberName        map[string]*broadcast // pending broadcasts by the name of the member
-	byTransmitCount     [][]*broadcast        // broadcasts by transmitCount; a broadcast that was replaced stays until collect removes it
+	byTransmitCount     [][]*broadcast        // broadcasts by transmitCount; a broadcast that a later one about its member replaced stays until collect removes it
 	lowestTransmitCount int                   // index in byTransmitCount below which all lists are empty
 }
 
@@ -34,7 +34,7 @@
 // reset removes all updates from the queue, whether or not they were sent.
 func (q *broadcastQueue) reset() { *q = broadcastQueue{byMemberName: map[string]*broadcast{}} }
 
-// hasPending reports whether the queue has updates that were sent less often than transmitLimit allows.
+// hasPending reports whether the queue has updates that the node is still to send.
 func (q *broadcastQueue) hasPending() bool { return len(q.byMemberName) > 0 }
 
 // enqueue adds an update to the queue, in place of an earlier update about the same member.
@@ -92,10 +92,11 @@
 	return updates
 }
 
-// canGossip reports whether there are updates to gossip and the node does not yield to an older process with its name.
+// canGossip reports whether the node has updates to gossip and may send them, which it may not while an older process with its
+// name responds.
 func (n *Node) canGossip() bool { return n.broadcasts.hasPending() && !n.isYielding() }
 
-// gossip sends queued updates to up to fanout random present members.
+// gossip sends queued updates to up to fanout random members that are alive or suspect.
 func (n *Node) gossip(fanout int) {
 	for _, m := range n.randomPresent(fanout, nil) {
 		n.send(m.Addr, &Message{Kind: Gossip})
@@ -111,8 +112,8 @@
 	n.outbox = append(n.outbox, Envelope{To: to, Message: m})
 }
 
-// buddyUpdates returns the update that must be piggybacked on a Ping if the Ping's target is not alive as far as this node
-// knows: the target learns of the update with the Ping, so that it can refute the update soon (Lifeguard's buddy system).
+// buddyUpdates returns this node's latest update about the target of a Ping if the update says that the target is not alive.
+// The update must be piggybacked on the Ping, so that the target can refute it soon (Lifeguard's buddy system).
 func (n *Node) buddyUpdates(m *Message, to netip.AddrPort) []Update {
 	if n.options.DisableBuddySystem || m.Target.Name == "" || m.Kind != Ping {
 		return nil
--- a/internal/cluster/swim/indirectprobe.go
+++ b/internal/cluster/swim/indirectprobe.go
@@ -23,8 +23,9 @@
 	nackAt        time.Duration  // instant at which the requester gets a Nack if the target has not responded
 }
 
-// sendIndirectProbes requests other members to probe a target that has not responded in time. The member whose indirect
-// probe of this target succeeded last is among them.
+// sendIndirectProbes requests other members to probe a target that has not responded to this node in time. The members are
+// chosen at random, but the one whose indirect probe of the same target last succeeded is always among them, unless it has
+// failed or left.
 func (n *Node) sendIndirectProbes(seq uint64, p *probe) {
 	p.hasSentPingReqs = true
 	probers := n.randomPresent(indirectProbeFanout, p.target)
--- a/internal/cluster/swim/localhealth.go
+++ b/internal/cluster/swim/localhealth.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// maxHealthScore is the worst local health score. A maximum of 8 would not reduce the number of false failure detections, and
-// the last remaining member of a cluster would then take 13 s to detect the failure of all others.
+// maxHealthScore is the worst local health score. With a maximum of 8 there are no fewer false failure detections than with
+// this one, and the last remaining member of a cluster takes 13 s to detect the failure of all others.
 const maxHealthScore = 4
 
-// HealthScore returns the node's estimate of its own health (Lifeguard's local health multiplier): 0 is healthy,
-// maxHealthScore is worst, and each increment lengthens the timeouts of probes by their base value.
+// HealthScore returns the node's estimate of its own health (Lifeguard's local health multiplier): 0 is healthy, maxHealthScore
+// is worst. The timeouts of the node's probes are multiplied by the score plus one.
 func (n *Node) HealthScore() int { return n.healthScore }
 
 // adjustHealthScore changes the health score by delta, which is positive if there is evidence that this node is slow.
@@ -22,8 +22,9 @@
 	return d * time.Duration(n.healthScore+1)
 }
 
-// detectPause detects that the process did not run when Tick was due. Responses missed during such a pause are not
-// evidence against other members: probes in flight are discarded, and suspicion timeouts are extended by the pause.
+// detectPause detects that this node's process did not run when the node's Tick was due. Responses missed during such a pause
+// are not evidence against other members: probes in flight are discarded, and suspicion timeouts are extended by the length of
+// the pause.
 func (n *Node) detectPause(now time.Duration) {
 	pause := now - n.expectedTick
 	if pause <= n.options.ProbeTimeout || n.options.DisableLocalHealth {
--- a/internal/cluster/swim/membership.go
+++ b/internal/cluster/swim/membership.go
@@ -16,25 +16,25 @@
 // member is an entry of the membership table: the latest update about another member, and this node's own state for it.
 type member struct {
 	Update
-	stateSince         time.Duration // instant at which this node learned that the member had entered its state
-	index              int           // the member's index in Node.present or Node.failed, while one of these lists contains the member
+	stateSince         time.Duration // instant, by the clock of this node's caller, at which this node learned that the member had entered its state
+	index              int           // the member's index in the list Node.present or Node.failed that contains it; unused if neither does
 	suspicion          *suspicion    // pending suspicion of the member; nil unless its state is Suspect
-	lastIndirectProber *member       // member that last probed this member successfully on behalf of the node; nil: none
+	lastIndirectProber *member       // member that, at this node's request, last got a response from this member; nil: none
 }
 
-// PresentCount returns the number of other members that are present, suspects included.
+// PresentCount returns the number of other members that are alive or suspect.
 func (n *Node) PresentCount() int { return len(n.present) }
 
 // SuspectCount returns the number of members that are suspect.
 func (n *Node) SuspectCount() int { return len(n.suspects) }
 
-// Digest returns a hash of the present members' names, generations and incarnations, this node included. Nodes that know
-// the same present members have the same digest.
+// Digest returns a hash of the names, generations and incarnations of this node and of all members that are alive or suspect.
+// Nodes that know the same such members have the same digest.
 func (n *Node) Digest() uint64 { return n.digest }
 
-// applyUpdate applies an update about a member, if it overrides what this node knows. isFullState means that the update
-// comes from a full state exchange. A failure that such an update reports may be old or from the other side of a network
-// partition; therefore the member becomes suspect instead of failed, so that it can refute the suspicion.
+// applyUpdate applies an update about a member, if the update overrides the latest one that this node knows about that member.
+// isFullState means that the update comes from a full state exchange. A failure that such an update reports may be old or from
+// the other side of a network partition. Therefore the member becomes suspect instead of failed, and can refute the suspicion.
 func (n *Node) applyUpdate(now time.Duration, u Update, isFullState bool) {
 	if u.Name == n.self.Name {
 		n.applyUpdateAboutSelf(now, u)
@@ -64,8 +64,8 @@
 	n.changeState(now, m, u)
 }
 
-// addMember adds a member that was unknown. The member is added as alive, and its state is then changed to suspect if u
-// asserts that it is suspect.
+// addMember adds the member of the update u, which was unknown so far. The member is added as alive, and its state is then
+// changed to suspect if u asserts that it is suspect.
 func (n *Node) addMember(now time.Duration, u Update) {
 	alive := u
 	alive.State, alive.SuspectedBy = Alive, ""
@@ -124,7 +124,8 @@
 	n.presentAddrs[m.Addr]++
 }
 
-// removeFromDigestAndAddrs undoes addToDigestAndAddrs for a member whose update has not changed since.
+// removeFromDigestAndAddrs undoes addToDigestAndAddrs for a member. It must be called before member.Update changes, since the
+// digest and the address come from it.
 func (n *Node) removeFromDigestAndAddrs(m *member) {
 	n.digest ^= m.digest()
 	if n.presentAddrs[m.Addr]--; n.presentAddrs[m.Addr] == 0 {
@@ -152,7 +153,8 @@
 	}
 }
 
-// insertPresent adds a member to Node.present, at a random position in the rest of the current probe round.
+// insertPresent adds a member to Node.present, at a random position among the members that are still to be probed in the
+// current probe round.
 func (n *Node) insertPresent(m *member) {
 	m.index = len(n.present)
 	n.present = append(n.present, m)
@@ -160,8 +162,8 @@
 	swapMembers(n.present, firstIndex+n.rng.IntN(len(n.present)-firstIndex), m.index)
 }
 
-// removePresent removes a member from Node.present. Members that were already probed in the current probe round stay
-// before probeIndex.
+// removePresent removes a member from Node.present. It keeps the other members that were already probed in the current probe
+// round at indexes below probeIndex, so that each member is probed once in a round.
 func (n *Node) removePresent(m *member) {
 	if m.index < n.probeIndex {
 		n.probeIndex--
@@ -170,7 +172,7 @@
 	n.present = removeMember(n.present, m)
 }
 
-// randomPresent returns up to count distinct random present members other than excluded.
+// randomPresent returns at most count different random members that are alive or suspect, without the member excluded.
 func (n *Node) randomPresent(count int, excluded *member) []*member {
 	chosen := make([]*member, 0, count)
 	for draws := 0; len(chosen) < count && draws < 4*count && len(n.present) > 0; draws++ {
--- a/internal/cluster/swim/message.go
+++ b/internal/cluster/swim/message.go
@@ -6,7 +6,8 @@
 	// MaxPiggybackedUpdates is the maximum number of updates piggybacked on one message.
 	MaxPiggybackedUpdates = 24
 
-	// maxPiggybackBytes bounds the encoded size of the piggybacked updates, so that a message fits a datagram of 1,200 bytes.
+	// maxPiggybackBytes bounds the encoded size of the updates piggybacked on a message in bytes, so that the message with its
+	// other fields fits a datagram of 1,200 bytes.
 	maxPiggybackBytes = 800
 
 	// updateOverheadBytes bounds the encoded size of an update without its names: numbers, address and field tags.
@@ -23,12 +24,12 @@
 	Ack                       // response to a Ping, or to a PingReq after Target has responded
 	Nack                      // response to a PingReq if Target did not respond in time
 	Gossip                    // distributes the updates in the message; no response is expected
-	Sync                      // contains the sender's full state; a SyncReply is expected
-	SyncReply                 // contains the sender's full state, in response to a Sync
+	Sync                      // contains the sender's latest update about each member; a SyncReply is expected
+	SyncReply                 // contains the sender's latest update about each member, in response to a Sync
 	kindEnd                   // one more than the last valid Kind
 )
 
-// Valid reports whether k is one of the declared kinds.
+// Valid reports whether k is one of the kinds from Ping to SyncReply.
 func (k Kind) Valid() bool { return k >= Ping && k < kindEnd }
 
 // Message is a message of the failure detector from one node to another. Its Kind determines which fields are used.
@@ -36,14 +37,14 @@
 	Kind             Kind     // purpose of the message, which decides how the receiver handles it
 	From             Update   // address, generation, state and incarnation of the sender
 	Seq              uint64   // sequence number of a Ping or PingReq, which the responses repeat
-	Target           Peer     // process that a Ping or PingReq probes, or that responded if this is the Ack to a PingReq
+	Target           Peer     // in a Ping or PingReq: process to probe; in the Ack to a PingReq: process that responded to the probe
 	Digest           uint64   // digest of the members that the sender considers present (Node.Digest)
 	GossipQueueEmpty bool     // whether the sender has no updates left to gossip
-	Updates          []Update // gossiped updates, at most MaxPiggybackedUpdates; the sender's full state in a Sync or SyncReply
+	Updates          []Update // gossiped updates, at most MaxPiggybackedUpdates; in a Sync or SyncReply the sender's latest update about each member
 }
 
-// isValid reports whether a message's kind is declared, its sender and its updates are valid and have names, and the name
-// of its target is not longer than MaxNameBytes.
+// isValid reports whether a message's kind is valid, its From and its Updates are valid and have names, and the name of its
+// Target is not longer than MaxNameBytes.
 func (m *Message) isValid() bool {
 	if !m.Kind.Valid() || !m.From.isValid() || m.From.Name == "" {
 		return false
--- a/internal/cluster/swim/nameconflict.go
+++ b/internal/cluster/swim/nameconflict.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// maxUnansweredConflictProbes is the number of probes without a response after which another process with this node's name
-// counts as ended, so that this node takes over the name.
+// maxUnansweredConflictProbes is the number of Pings that this node sends, without a response, to another process with its name
+// before it takes that process for ended and takes over the name.
 const maxUnansweredConflictProbes = 3
 
 // nameConflict describes another process with this node's name. Either that process has ended, or it is older and this
@@ -14,13 +14,14 @@
 	lastSeq          uint64        // sequence number of the latest Ping that this node sent to the other process
 	unansweredProbes int           // number of Pings sent to the other process since it last responded
 	nextProbe        time.Duration // instant at which this node sends the next Ping to the other process
-	incarnation      uint64        // highest incarnation of the other process that was received
+	incarnation      uint64        // highest incarnation of the other process in the updates that this node received
 	hasResponded     bool          // whether the other process has responded to a Ping of this node
-	isYielding       bool          // whether this node yields, because the other process is older and responds
+	isYielding       bool          // whether this node sends no updates and no probes of members, because the other process is older and responds
 }
 
-// NameConflict returns another process with this node's name, whether that process has responded, and whether this node
-// yields to it. If no such process is known, NameConflict returns zero values.
+// NameConflict returns another process with this node's name, whether that process has responded to a Ping of this node, and
+// whether this node yields to it: whether the node stays out of the cluster while the other, older process responds. If no such
+// process is known, NameConflict returns zero values.
 func (n *Node) NameConflict() (other Peer, responds, yields bool) {
 	if n.conflict == nil {
 		return Peer{}, false, false
@@ -32,13 +33,14 @@
 // responds to messages, and sends no updates and no probes of members.
 func (n *Node) isYielding() bool { return n.conflict != nil && n.conflict.isYielding }
 
-// applyUpdateAboutSelf handles an update whose member has this node's name. If the update is about this process or about
-// an earlier process that has ended, the node refutes the update; otherwise it records the other process as a conflict.
+// applyUpdateAboutSelf handles an update whose member has this node's name. The node refutes an update about this process, or
+// about an earlier process that has ended, unless the update is outdated or says nothing new. For an update about another process
+// that still runs, the node records in n.conflict that this process has its name.
 func (n *Node) applyUpdateAboutSelf(now time.Duration, u Update) {
 	c := n.conflict
 	if n.isYielding() && u.Generation == c.Generation {
 		c.incarnation = max(c.incarnation, u.Incarnation)
-		if u.State == Left { // the older process has given up the name
+		if u.State == Left { // the older process with this node's name has left the cluster
 			c.unansweredProbes, c.nextProbe = maxUnansweredConflictProbes, now
 		}
 		return
@@ -61,8 +63,8 @@
 	}
 }
 
-// refute raises this node's incarnation above the given one, and gossips an update with it, which overrides the updates
-// of others about this node.
+// refute raises this node's incarnation above the parameter incarnation, and gossips an update with the raised incarnation. The
+// update overrides what other nodes have gossiped about this node.
 func (n *Node) refute(incarnation uint64) {
 	n.digest ^= n.self.digest()
 	n.self.Incarnation = max(n.self.Incarnation, incarnation) + 1
@@ -91,8 +93,9 @@
 	n.send(c.Addr, &Message{Kind: Ping, Seq: n.lastSeq, Target: c.Peer})
 }
 
-// receiveConflictAck handles the response of the other process with this node's name. The younger process yields for as
-// long as the older process responds. The older process makes its updates override the updates of the younger process.
+// receiveConflictAck handles the response of the other process with this node's name. If this node is the younger of the two,
+// it stays out of the cluster for as long as the other one responds. If it is the older one, it raises its incarnation if that
+// is necessary for its updates to override those of the younger process.
 func (n *Node) receiveConflictAck(now time.Duration) {
 	c := n.conflict
 	c.unansweredProbes = 0
--- a/internal/cluster/swim/node.go
+++ b/internal/cluster/swim/node.go
@@ -13,49 +13,49 @@
 // Node is the failure detector of one daemon. The instants that a caller passes to its methods must never decrease. A Node
 // is not safe for concurrent use.
 type Node struct {
-	options      Options       // options of the node after setDefaults; Reconfigure replaces them
+	options      Options       // options of the node, with defaults for those not set; Reconfigure replaces them
 	rng          *rand.Rand    // source of all random decisions, from Options.Seed
 	self         Update        // address, generation, state and incarnation of this node, as it gossips them
 	startedAt    time.Duration // instant at which the node was created
 	hasLeft      bool          // whether Leave was called
-	hasContact   bool          // whether a message of another node has been received since the start
+	hasContact   bool          // whether the node has received a message of another node since it was created
 	expectedTick time.Duration // instant at which Tick is expected: the latest result of NextTick
 
 	// Fields of the membership table (membership.go).
 	members      map[string]*member     // all other known members, in any state, by name
-	present      []*member              // other members that are present, in the shuffled order of the probe round
+	present      []*member              // other members that are alive or suspect, in the shuffled order of the probe round
 	failed       []*member              // members in the state Failed, in any order
 	suspects     map[string]*member     // members in the state Suspect, by name
-	presentAddrs map[netip.AddrPort]int // number of present members by address
-	digest       uint64                 // hash of all present members and this node, which Digest returns
+	presentAddrs map[netip.AddrPort]int // number of members that are alive or suspect, by address
+	digest       uint64                 // hash of this node and all members that are alive or suspect, which Digest returns
 	nextReap     time.Duration          // instant at which members that failed or left long ago are next removed
 
 	// Fields of the probes of members (probe.go and indirectprobe.go).
 	lastSeq        uint64                    // sequence number of the latest Ping that this node sent
 	probes         map[uint64]*probe         // probes without a response, by sequence number; at most maxHealthScore+1
 	indirectProbes map[uint64]*indirectProbe // probes on behalf of other members, by sequence number; at most maxIndirectProbes
-	probeIndex     int                       // index in present of the member to probe next
-	urgentTargets  []*member                 // members that others suspect and that this node probes next; at most maxHealthScore
+	probeIndex     int                       // index in the list present of the member to probe next
+	urgentTargets  []*member                 // members that another node suspects, and that this node probes before any others; at most maxHealthScore
 	healthScore    int                       // local health of this node: 0 is healthy, maxHealthScore is worst
 	nextProbe      time.Duration             // instant at which this node starts its next probe of a member
 
-	nextSuspicionEnd time.Duration // lower bound of the deadlines of all suspicions; noDeadline: no member is suspect
+	nextSuspicionEnd time.Duration // instant before which the timeout of no suspicion ends; noDeadline: no member is suspect
 
 	// Fields of gossip and of the full state exchange (gossip.go and sync.go).
 	broadcasts broadcastQueue // updates to be gossiped
-	nextGossip time.Duration  // earliest instant of the next round of gossip
-	nextRejoin time.Duration  // instant at which this node next pings the address of a failed member, or one in Options.Join that no present member has
+	nextGossip time.Duration  // instant before which this node starts no round of gossip
+	nextRejoin time.Duration  // instant at which this node next pings the address of a failed member, or an address in Options.Join that no alive or suspect member has
 	lastSync   time.Duration  // instant at which this node last started a full state exchange; 0: never
 	outbox     []Envelope     // messages that the next call of TakeMessages returns
 
 	conflict *nameConflict // another process with this node's name; nil: none is known
 
-	// Fields of the view that the node reports (view.go).
-	connectivity       Connectivity  // connectivity that View reports; improvements are reported with a delay
-	improvedSince      time.Duration // instant since which the actual connectivity has been at least worstSinceImproved; negative: it is not better than the reported one
-	worstSinceImproved Connectivity  // worst actual connectivity since it became better than the reported one; View reports this value if it lasts
+	// Fields of the view of the cluster that the method View returns (view.go).
+	connectivity       Connectivity  // how much of the cluster the node can reach, as View reports it; an improvement is reported only after it has lasted
+	improvedSince      time.Duration // instant since which the current connectivity has been at least worstSinceImproved; negative: it is not better than what View reports
+	worstSinceImproved Connectivity  // worst connectivity since the connectivity became better than what View reports; View reports this one once it has lasted
 	viewNumber         uint64        // Number of the current View, which grows with each change
-	changes            []Change      // member state changes that TakeChanges returns; at most maxPendingChanges
+	changes            []Change      // member state changes that the next call of TakeChanges returns; at most maxPendingChanges
 }
 
 // New returns a Node that starts at the instant now. Its first Tick pings one of the addresses in Options.Join.
@@ -81,7 +81,7 @@
 	}
 	n.broadcasts.reset()
 	n.digest = n.self.digest()
-	n.lastSeq = n.rng.Uint64() >> 16 // random, so that a response to a Ping of an earlier process matches no Ping of this one
+	n.lastSeq = n.rng.Uint64() >> 16 // random, so that a response to a Ping of an earlier process of this daemon matches no Ping of this process
 	n.nextProbe = now + time.Duration(n.rng.Int64N(int64(o.ProbeInterval)))
 	n.broadcasts.enqueue(n.self)
 	for _, u := range o.InitialMembers {
@@ -97,7 +97,7 @@
 	return n
 }
 
-// NextTick returns the instant at which Tick must be called if no message is received before.
+// NextTick returns the instant at which Tick must be called, unless a message is received first. Then the instant may change.
 func (n *Node) NextTick() time.Duration {
 	next := min(n.nextProbe, n.nextRejoin, n.nextReap, n.nextSuspicionEnd)
 	if n.canGossip() {
@@ -122,7 +122,8 @@
 	return next
 }
 
-// Tick runs all timers that have expired at the instant now.
+// Tick does all work of the node that is due at the instant now, such as probes, gossip, and the failure of suspects whose
+// timeout has passed.
 func (n *Node) Tick(now time.Duration) {
 	n.detectPause(now)
 	n.sendNacks(now)
@@ -187,7 +188,7 @@
 	return messages
 }
 
-// HasContact reports whether a message of another node has been received since the start.
+// HasContact reports whether this node has received a message of another node since it was created.
 func (n *Node) HasContact() bool { return n.hasContact }
 
 // Leave announces that this node leaves the cluster. The caller should then send what TakeMessages returns. After Leave the
--- a/internal/cluster/swim/options.go
+++ b/internal/cluster/swim/options.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Default values of ProbeInterval, ProbeTimeout and SuspicionTimeout in Options; docs/design/026-peers.md explains them.
+// Values of ProbeInterval, ProbeTimeout and SuspicionTimeout in Options if they are not set; docs/design/026-peers.md explains them.
 const (
 	DefaultProbeInterval    = 500 * time.Millisecond
 	DefaultProbeTimeout     = 200 * time.Millisecond
@@ -14,9 +14,9 @@
 
 // Options configure a Node. ProbeInterval, ProbeTimeout and SuspicionTimeout get their defaults if they are 0 or less.
 type Options struct {
-	Self           Peer             // identity of this node, which cannot be reconfigured
-	Join           []netip.AddrPort // addresses that are pinged to join the cluster, each as long as no present member has the address
-	Voters         []string         // names of the members whose presence determines Connectivity; empty: all known members
+	Self           Peer             // name, address and generation of this node; cannot be reconfigured
+	Join           []netip.AddrPort // addresses that are pinged to join the cluster, each while no alive or suspect member has the address
+	Voters         []string         // names of the members whose states determine the node's Connectivity; empty: all known members
 	InitialMembers []Update         // members that are known at the start, and that already know this node
 	Seed           uint64           // seed of the random numbers, which cannot be reconfigured
 
@@ -25,8 +25,8 @@
 	SuspicionTimeout time.Duration // minimum suspicion timeout in a cluster of up to ten members; in a larger one it grows with the logarithm of the size
 
 	// Switches that turn off parts of Lifeguard, for simulations that measure their effect. The daemon sets none of them.
-	DisableLocalHealth     bool // whether the local health multiplier is off: timeouts do not grow when this node is slow
-	DisableSuspicionShrink bool // whether every suspicion has its minimum timeout from the start, and verifySuspicion does nothing
+	DisableLocalHealth     bool // whether the timeouts of probes stay the same when this node is slow, instead of growing with its health score
+	DisableSuspicionShrink bool // whether each suspicion timeout is the minimum from the start and no suspicion is verified, instead of shrinking with confirmations
 	DisableBuddySystem     bool // whether a Ping to a suspect does not tell the suspect that it is suspected
 }
 
@@ -47,7 +47,7 @@
 	return d
 }
 
-// Reconfigure replaces the options, except Self and Seed, which stay as they were passed to New.
+// Reconfigure replaces the node's Options, except Self and Seed, which stay as they were passed to New.
 func (n *Node) Reconfigure(now time.Duration, o Options) {
 	o.Self, o.Seed = n.options.Self, n.options.Seed
 	o.setDefaults()
--- a/internal/cluster/swim/probe.go
+++ b/internal/cluster/swim/probe.go
@@ -34,8 +34,9 @@
 	}
 }
 
-// startProbe sends a Ping to the next target, unless maxHealthScore+1 probes are already in flight. The limit allows one probe
-// in each interval even at the worst health score, at which a probe fails only after maxHealthScore+1 probe intervals.
+// startProbe sends a Ping to the next target, unless maxHealthScore+1 probes are already in flight. At the worst health score a
+// probe without a response stays in flight for maxHealthScore+1 probe intervals, so the limit still allows one new probe in
+// each interval.
 func (n *Node) startProbe(now time.Duration) {
 	if n.isYielding() || n.hasLeft || len(n.probes) > maxHealthScore {
 		return
@@ -54,7 +55,8 @@
 }
 
 // nextProbeTarget returns the member to probe next: the first of urgentTargets that is still suspect, or otherwise the next
-// member of the probe round. After each round the order of the members is shuffled again.
+// member of the probe round, in which each alive or suspect member is probed once. After each round the order is shuffled
+// again.
 func (n *Node) nextProbeTarget() *member {
 	for len(n.urgentTargets) > 0 {
 		m := n.urgentTargets[0]
--- a/internal/cluster/swim/suspicion.go
+++ b/internal/cluster/swim/suspicion.go
@@ -20,16 +20,16 @@
 	expectedVerifiers = 6
 )
 
-// suspicion is the pending suspicion of a member. The timeout before the member is declared failed is long while only one
-// other member suspects it, and shrinks with each further member that confirms the suspicion (Lifeguard, section IV-B).
+// suspicion is the pending suspicion of a member. The timeout before the suspect is declared failed is long while only one node
+// suspects it, and shrinks with each further node that confirms the suspicion (Lifeguard, section IV-B).
 type suspicion struct {
-	start                  time.Duration // instant at which the suspicion started; detectPause adds the pauses of this process
-	minTimeout, maxTimeout time.Duration // suspicion timeout after neededConfirmations confirmations, and before the first one
+	start                  time.Duration // instant from which the suspicion timeout counts; detectPause moves it later by the length of each pause of this process
+	minTimeout, maxTimeout time.Duration // suspicion timeout with all needed confirmations (minTimeout) and without any (maxTimeout)
 	neededConfirmations    int           // number of confirmations that shrink the timeout to minTimeout
-	suspectors             []string      // names of the members that share the suspicion; at most 1+neededConfirmations
+	suspectors             []string      // names of the nodes that suspect the member; at most 1+neededConfirmations
 }
 
-// confirm records that the member named suspector shares the suspicion, and reports whether the suspicion timeout shrinks.
+// confirm records that the node named suspector also suspects the member, and reports whether the suspicion timeout shrinks.
 func (s *suspicion) confirm(suspector string) bool {
 	if len(s.suspectors) > s.neededConfirmations || slices.Contains(s.suspectors, suspector) {
 		return false
@@ -48,7 +48,8 @@
 	return s.start + max(s.minTimeout, shrunkTimeout)
 }
 
-// startSuspicion changes the state of a present member to suspect and starts its suspicion timeout.
+// startSuspicion changes the state of the member m to suspect and starts the suspicion timeout. It does nothing if m has failed or
+// left, or is already suspect in the same incarnation.
 func (n *Node) startSuspicion(now time.Duration, m *member, u Update) {
 	if !m.State.IsPresent() || m.State == Suspect && m.Incarnation == u.Incarnation {
 		return
@@ -84,8 +85,8 @@
 	}
 }
 
-// confirmSuspicion adds the suspicion of another member to the pending suspicion of m, and gossips the update if the
-// timeout of the suspicion shrinks.
+// confirmSuspicion records in the pending suspicion of m that the node u.SuspectedBy also suspects m. It gossips the update u
+// if that shrinks the suspicion timeout.
 func (n *Node) confirmSuspicion(m *member, u Update) {
 	if m.suspicion.confirm(u.SuspectedBy) {
 		n.nextSuspicionEnd = min(n.nextSuspicionEnd, m.suspicion.deadline())
@@ -93,7 +94,7 @@
 	}
 }
 
-// expireSuspicions changes the state of each suspect to failed whose suspicion timeout has passed without a refutation.
+// expireSuspicions declares each suspect failed whose suspicion timeout has passed without a refutation.
 func (n *Node) expireSuspicions(now time.Duration) {
 	if now < n.nextSuspicionEnd {
 		return
@@ -111,6 +112,6 @@
 	}
 }
 
-// suspicionScale returns the factor by which the suspicion timeout grows with the size of the cluster: the decimal
-// logarithm of the number of present members, but at least 1.
+// suspicionScale returns the factor by which the suspicion timeout grows with the size of the cluster: the decimal logarithm of
+// the number of alive and suspect members, but at least 1.
 func (n *Node) suspicionScale() float64 { return max(1, math.Log10(float64(len(n.present)+1))) }
--- a/internal/cluster/swim/swim_test.go
+++ b/internal/cluster/swim/swim_test.go
@@ -8,9 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// Guards the invariants of a node while messages are lost, delayed, duplicated and reordered and nodes restart:
-// incarnations never decrease, a member that left does not come back in the same incarnation, and a node's lists agree with
-// its members. Once all messages are delivered again, all views become equal.
+// Guards the invariants of a node while messages are lost, delayed, duplicated and reordered and nodes restart: incarnations
+// never decrease, a member that left does not come back in the same incarnation, and the lists and the digest of a node match
+// the members that it knows. Once all messages are delivered again, all nodes come to consider one another alive, in the same
+// incarnations.
 func TestNodesConvergeAfterLossReorderingAndRestarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		network := newTestNetwork(rapid.IntRange(2, 5).Draw(t, "nodes"))
@@ -66,7 +67,7 @@
 			network.runEvent(t, remainingEvents%eventChoices)
 			remainingEvents /= eventChoices
 		}
-		if order%97 == 0 { // checking convergence after every order would take minutes
+		if order%97 == 0 { // checking after every order that the nodes' views become equal would take minutes
 			network.requireConvergence(t)
 		}
 		checkedOrders++
@@ -116,7 +117,7 @@
 	if _, responds, yields := older.NameConflict(); yields {
 		t.Fatalf("older process yields, want that it does not; other responds %v", responds)
 	}
-	younger.nextGossip = network.now // make a round of gossip due, so that the younger process would send its queued updates
+	younger.nextGossip = network.now // the next Tick would send queued updates in a round of gossip, if the younger process were allowed to gossip
 	younger.Tick(network.now)
 	for _, e := range younger.TakeMessages() {
 		if e.Message.Kind == Gossip || len(e.Message.Updates) > 0 {
--- a/internal/cluster/swim/sync.go
+++ b/internal/cluster/swim/sync.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// membersPerSyncInterval is the size of the cluster up to which a node may start a full state exchange in every
-// ProbeInterval. In a larger cluster the interval grows in proportion, so that a node's traffic does not grow with the
-// cluster.
+// membersPerSyncInterval limits how often a node starts a full state exchange: once in a ProbeInterval in a cluster of up to
+// this many members. In a larger cluster the minimum time between two exchanges grows in proportion to the number of members,
+// so that a node's traffic does not grow with the cluster.
 const membersPerSyncInterval = 32
 
-// syncIfViewsDiffer starts a full state exchange with the sender of the Ack m if the digest in m differs from this node's
-// digest. While either node has updates left to gossip, it starts an exchange only if this node did not consider the sender
-// present before it received m (senderWasAbsent).
+// syncIfViewsDiffer starts a full state exchange with the sender of the Ack m if the sender and this node have different
+// digests of the members. While either of the two nodes has updates left to gossip, which may remove the difference, this node
+// starts an exchange only if senderWasAbsent: the sender was failed, left or unknown to it before it received m.
 func (n *Node) syncIfViewsDiffer(now time.Duration, m *Message, senderWasAbsent bool) {
 	if m.Digest == n.digest || n.isYielding() || n.hasLeft {
 		return
@@ -45,8 +45,8 @@
 	n.outbox = append(n.outbox, Envelope{To: to.Addr, NeedsStream: true, Message: m})
 }
 
-// rejoin pings one random address at which no member is present: the address of a failed member, or an address in
-// Options.Join. The pings reconnect the parts of a cluster after a network partition.
+// rejoin pings one random address: that of a failed member, or one in Options.Join that no alive or suspect member has. The
+// pings reconnect the parts of a cluster after a network partition.
 func (n *Node) rejoin() {
 	if n.hasLeft || n.isYielding() {
 		return
--- a/internal/cluster/swim/testnetwork_test.go
+++ b/internal/cluster/swim/testnetwork_test.go
@@ -12,7 +12,8 @@
 	Fatalf(format string, args ...any)
 }
 
-// testPeer returns the identity of the first process of the daemon with number i: its name, address and generation.
+// testPeer returns the name, address and generation of the first process of the daemon with number i. A restart gives the
+// daemon another generation.
 func testPeer(i int) Peer {
 	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 7)
 	return Peer{Name: fmt.Sprint("s", i), Addr: addr, Generation: uint64(i + 1)}
@@ -25,10 +26,10 @@
 	nodes     []*Node       // running nodes; a test replaces one to restart it
 	inTransit []Envelope    // messages that were sent and neither delivered nor lost, in the order of sending
 
-	// The keys of maxIncarnation and leftIncarnation consist of the generation of a node and the name of a member that the
-	// node knows.
-	maxIncarnation  map[string]uint64 // highest incarnation of a member in the views of one node
-	leftIncarnation map[string]uint64 // incarnation in which a member left the cluster, according to the views of one node
+	// Each key of maxIncarnation and leftIncarnation is a text that consists of the generation of a node and the name of a
+	// member in that node's view.
+	maxIncarnation  map[string]uint64 // highest incarnation of a member that one node has had in its view
+	leftIncarnation map[string]uint64 // incarnation in which a member left the cluster, as one node's view had it
 }
 
 // newTestNetwork returns a network of size nodes that all know one another.
@@ -65,7 +66,8 @@
 	}
 }
 
-// collectAndCheck adds the messages that a node sends to inTransit, and checks the invariants of the node's view and lists.
+// collectAndCheck moves the messages that a node wants to send to inTransit, and checks the invariants of the node's view and
+// membership table.
 func (network *testNetwork) collectAndCheck(t testingT, n *Node) {
 	t.Helper()
 	for _, e := range n.TakeMessages() {
@@ -89,7 +91,8 @@
 	checkMembershipTable(t, n)
 }
 
-// checkMembershipTable checks that a node's lists, counts and digest agree with its members.
+// checkMembershipTable checks that a node's lists present, failed and suspects, its count of addresses and its digest match the
+// members that the node knows.
 func checkMembershipTable(t testingT, n *Node) {
 	t.Helper()
 	digest, presentCount, failedCount := n.self.digest(), 0, 0
@@ -126,8 +129,8 @@
 	}
 }
 
-// runUntil calls the ticks that are due and delivers all messages in order until isDone returns true, or until d of virtual
-// time has passed. It reports whether isDone returned true.
+// runUntil calls Tick of each node when it is due and delivers all messages in order until isDone returns true, or until d of
+// virtual time has passed. It reports whether isDone returned true.
 func (network *testNetwork) runUntil(t testingT, d time.Duration, isDone func() bool) bool {
 	t.Helper()
 	for end := network.now + d; network.now < end; network.now += 10 * time.Millisecond {
@@ -147,13 +150,13 @@
 	return false
 }
 
-// run calls the ticks that are due and delivers all messages in order until d of virtual time has passed.
+// run calls Tick of each node when it is due and delivers all messages in order until d of virtual time has passed.
 func (network *testNetwork) run(t testingT, d time.Duration) {
 	t.Helper()
 	network.runUntil(t, d, func() bool { return false })
 }
 
-// requireConvergence fails the test unless all views are equal and complete within a minute without further faults.
+// requireConvergence fails the test unless, within a minute without further faults, all nodes consider one another alive.
 func (network *testNetwork) requireConvergence(t testingT) {
 	t.Helper()
 	if !network.runUntil(t, time.Minute, network.isConverged) {
--- a/internal/cluster/swim/update.go
+++ b/internal/cluster/swim/update.go
@@ -20,13 +20,13 @@
 	Suspect                 // a probe of the member by another member failed; the suspected member can still refute the suspicion
 	Failed                  // the member did not refute a suspicion in time
 	Left                    // the member announced that it leaves the cluster, which is not a failure
-	stateCount              // number of declared states
+	stateCount              // number of states from Alive to Left
 )
 
 // stateNames contains the name of each state, which operators read.
 var stateNames = [stateCount]string{"alive", "suspect", "failed", "left"}
 
-// Valid reports whether s is one of the declared states.
+// Valid reports whether s is one of the states from Alive to Left.
 func (s State) Valid() bool { return s < stateCount }
 
 // String returns the name of the state as operators read it.
@@ -51,12 +51,12 @@
 type Update struct {
 	Peer
 	State       State  // state that the member is asserted to have
-	Incarnation uint64 // counter that only the member itself increments, to refute assertions with smaller values
+	Incarnation uint64 // counter that only the member itself increments, to refute updates about it that have a lower incarnation
 	SuspectedBy string // name of the node that suspects the member, if State is Suspect
 }
 
-// overrides reports whether u replaces the earlier update v about the same member. Of updates about two processes with one
-// name that differ only in the generation, all nodes prefer the update about the older process.
+// overrides reports whether u replaces the earlier update v about the member of the same name. If u and v are about two
+// processes with that name and have the same incarnation and state, the update about the older process wins at all nodes.
 func (u *Update) overrides(v *Update) bool {
 	switch {
 	case u.Incarnation != v.Incarnation:
@@ -67,8 +67,8 @@
 	return u.Generation < v.Generation
 }
 
-// isValid reports whether the update has a declared state and an address, its names are not longer than MaxNameBytes, and
-// its incarnation is in the range that nodes use, from 1 to 1<<62-1.
+// isValid reports whether the update has a valid state and an address, its names are not longer than MaxNameBytes, and its
+// incarnation is in the range that nodes use, from 1 to 1<<62-1.
 func (u *Update) isValid() bool {
 	return u.State.Valid() && len(u.Name) <= MaxNameBytes && len(u.SuspectedBy) <= MaxNameBytes && u.Addr.IsValid() &&
 		u.Incarnation > 0 && u.Incarnation < 1<<62
@@ -77,8 +77,8 @@
 // maxEncodedBytes returns an upper bound of the update's encoded length in a message.
 func (u *Update) maxEncodedBytes() int { return updateOverheadBytes + len(u.Name) + len(u.SuspectedBy) }
 
-// digest returns the member's contribution to Node.Digest. It does not depend on whether the member is suspect, because a
-// suspicion is temporary.
+// digest returns the hash of the member that Node.Digest combines with those of the other members. The hash is the same whether
+// the member is alive or suspect, because a suspicion is temporary.
 func (u *Update) digest() uint64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:], u.Generation)
--- a/internal/cluster/swim/view.go
+++ b/internal/cluster/swim/view.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// connectivityHoldIntervals is the number of probe intervals for which an improved connectivity must last before a View
-	// reports it.
+	// connectivityHoldIntervals is the number of ProbeIntervals for which an improvement of a node's Connectivity must last before
+	// the node's View reports it.
 	connectivityHoldIntervals = 2
 
-	// maxPendingChanges bounds the number of changes that are kept for TakeChanges.
+	// maxPendingChanges is the maximum number of member state changes that a node keeps until the next call of TakeChanges.
 	maxPendingChanges = 1024
 )
 
 // Connectivity is a node's estimate of how much of the cluster it can reach. A greater value is better.
 type Connectivity uint8
 
-// The levels of Connectivity, from worst to best. A node that is a voter counts itself as present.
+// The levels of Connectivity, from worst to best. A node that is a voter counts itself as alive.
 const (
-	CutOff          Connectivity = iota // fewer than half of the voters are present, or the node yields to an older process or has left
-	PartlyConnected                     // at least half of the voters are present, but one is absent or some member has failed
-	FullyConnected                      // all voters are present and no member has failed
+	CutOff          Connectivity = iota // fewer than half of the voters are alive or suspect, or the node has left, or an older process with its name keeps it out of the cluster
+	PartlyConnected                     // at least half of the voters are alive or suspect, but another voter is not, or some member has failed
+	FullyConnected                      // all voters are alive or suspect and no member has failed
 )
 
 // connectivityNames contains the name of each level of Connectivity, which operators read.
@@ -43,7 +43,7 @@
 	Number       uint64       // number of the view, which grows with every change of the view while the process runs
 	Self         string       // name of the node whose view this is
 	Connectivity Connectivity // node's estimate of how much of the cluster it can reach
-	ElderAddr    string       // address of the older process with this node's name, to which the node yields; empty: none
+	ElderAddr    string       // address of an older process with this node's name, for which the node stays out of the cluster; empty: none
 	Members      []Member     // all known members, sorted by name, the node itself included
 }
 
@@ -51,7 +51,7 @@
 type Change struct {
 	Name        string         // name of the member that changed
 	Addr        netip.AddrPort // address of the member after the change
-	From, To    State          // states before and after the change; From is meaningless if IsNew is set
+	From, To    State          // states before and after the change; From is unused if IsNew is true
 	IsNew       bool           // whether the member was unknown before the change
 	Incarnation uint64         // incarnation of the member after the change
 }
@@ -76,7 +76,8 @@
 // ViewNumber returns the Number of the current View without building the View.
 func (n *Node) ViewNumber() uint64 { return n.viewNumber }
 
-// TakeChanges returns the member state changes since its previous call, but only the first maxPendingChanges.
+// TakeChanges returns the member state changes since its previous call. If there were more than maxPendingChanges, it returns
+// the first ones, and the later ones are lost.
 func (n *Node) TakeChanges() []Change {
 	changes := n.changes
 	n.changes = nil
@@ -112,7 +113,8 @@
 	}
 }
 
-// currentConnectivity returns the connectivity that follows from the members' states at this instant.
+// currentConnectivity returns the node's Connectivity according to the present states of the members, without the delay with
+// which View reports an improvement.
 func (n *Node) currentConnectivity() Connectivity {
 	present, total := n.countVoters()
 	switch {
@@ -124,8 +126,8 @@
 	return PartlyConnected
 }
 
-// countVoters returns how many voters are present, and how many there are. Without configured voters, all known members
-// except those that left are counted.
+// countVoters returns how many voters are alive or suspect, and how many there are. Without configured voters, all known
+// members except those that left are counted.
 func (n *Node) countVoters() (present, total int) {
 	if len(n.options.Voters) == 0 {
 		return len(n.present) + 1, len(n.present) + len(n.failed) + 1
--- a/internal/cluster/transport/authentication.go
+++ b/internal/cluster/transport/authentication.go
@@ -31,7 +31,7 @@
 	packetFieldMessage
 )
 
-// MaxPacketOverheadBytes is the maximum length of a signed packet without the message of the failure detector in it: header,
+// MaxPacketOverheadBytes is the maximum number of bytes that a signed packet adds to a message of the failure detector: header,
 // authentication code, cluster name, sequence number, and the tag and length of the message.
 const MaxPacketOverheadBytes = headerBytes + macBytes + 2 + swim.MaxNameBytes + 9 + 3
 
@@ -43,12 +43,12 @@
 	sequence    uint64        // sequence number of the packet among the packets of the sending process
 }
 
-// appendSwimPacket appends a packet with a message of the failure detector to b.
+// appendSwimPacket appends to b a packet that contains a message of the failure detector.
 func appendSwimPacket(b []byte, options *Options, sequence uint64, m *swim.Message) []byte {
 	return appendPacket(b, options, sequence, packetFieldSwimMessage, AppendSwimMessage(nil, m))
 }
 
-// appendMessagePacket appends a packet with a message that Transport.Send sends to b.
+// appendMessagePacket appends to b a packet that contains a message of Transport.Send.
 func appendMessagePacket(b []byte, options *Options, sequence uint64, m *Message) []byte {
 	return appendPacket(b, options, sequence, packetFieldMessage, m.marshal())
 }
@@ -76,8 +76,8 @@
 	return b
 }
 
-// openPacket authenticates and parses a packet that appendPacket encoded. It rejects a message of the failure detector
-// with more than maxUpdates updates. An error is the reason to drop the packet. The result does not refer to b.
+// openPacket authenticates and parses a packet that appendPacket encoded. It rejects a message of the failure detector with
+// more than maxUpdates updates. An error is the reason to drop the packet. The result shares no memory with b.
 func openPacket(b []byte, options *Options, maxUpdates int) (packet, error) {
 	body, err := authenticate(b, options.Keys)
 	if err != nil {
@@ -119,8 +119,8 @@
 	return p, nil
 }
 
-// authenticate returns the body of a packet that one of the keys has signed. If keys is empty, it accepts only unsigned
-// packets.
+// authenticate checks that the packet b is signed with one of the keys or, if there are no keys, that it is unsigned. It
+// returns the body of the packet.
 func authenticate(b []byte, keys Keys) ([]byte, error) {
 	if len(b) < headerBytes || string(b[:versionOffset]) != packetMagic {
 		return nil, errMalformed
--- a/internal/cluster/transport/authentication_test.go
+++ b/internal/cluster/transport/authentication_test.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// Checks that openPacket parses or rejects any input, that a parsed message stays the same when it is encoded and parsed
-// again, and that a Node can receive it.
+// Checks that openPacket parses or rejects any input. A message that it has parsed must be the same after it is encoded and
+// parsed again, and a swim.Node must be able to receive it.
 func FuzzOpenPacket(f *testing.F) {
 	unsigned, signed := &Options{Cluster: "c"}, &Options{Cluster: "c", Keys: Keys{newKey(secret)}}
 	f.Add(appendSwimPacket(nil, unsigned, 1, sampleSwimMessage())[headerBytes:])
--- a/internal/cluster/transport/clock.go
+++ b/internal/cluster/transport/clock.go
@@ -6,8 +6,8 @@
 // time. Only builds with the race detector, which are for tests, read it.
 const ClockRateEnv = "TULIPROCK_TEST_CLOCK_RATE"
 
-// clockOrigin is the reading of the failure detector's clock when the transport starts. It is well above zero, so that the
-// failure detector may subtract any of its intervals from an instant.
+// clockOrigin is the reading of the failure detector's clock when the transport starts. It is longer than all intervals of the
+// failure detector, which may therefore subtract an interval from an instant and get a positive result.
 const clockOrigin = 24 * time.Hour
 
 // Now returns the current reading of the failure detector's clock. swim.Member.StateSince is an earlier reading of the same
--- a/internal/cluster/transport/clock_race.go
+++ b/internal/cluster/transport/clock_race.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// clockRate is the rate of the failure detector's clock as a factor of real time. The environment variable is read only
-// once, so that the clock never jumps.
+// clockRate is the rate of the failure detector's clock as a factor of real time. The environment variable ClockRateEnv is read
+// only once, so that the clock never jumps.
 var clockRate = func() float64 {
 	if rate, err := strconv.ParseFloat(os.Getenv(ClockRateEnv), 64); err == nil && rate > 0 {
 		return rate
--- a/internal/cluster/transport/datagrams.go
+++ b/internal/cluster/transport/datagrams.go
@@ -11,7 +11,7 @@
 // IPv6 is 1,280 bytes (RFC 8200, section 5).
 const MaxDatagramBytes = 1200
 
-// sendDatagram sends b, a packet that must not be longer than MaxDatagramBytes, and counts it.
+// sendDatagram sends b, a packet that must not be longer than MaxDatagramBytes, and counts the packet if it was sent.
 func (t *Transport) sendDatagram(to netip.AddrPort, b []byte) error {
 	_, err := t.udpConn.WriteToUDPAddrPort(b, to)
 	t.countSent(len(b), err)
@@ -43,15 +43,15 @@
 	// maxDatagramsPerSource is the maximum number of datagrams per second from one source address. A member sends some tens
 	// per second.
 	maxDatagramsPerSource = 1000
-	// maxTrackedSources is the maximum number of source addresses with separate counts in a window, which bounds the
-	// memory. All other addresses share one count.
+	// maxTrackedSources is the maximum number of source addresses whose datagrams are counted separately in a window of one
+	// second. It bounds the memory for the counts. All other addresses share one count.
 	maxTrackedSources = 4096
 )
 
 // sourceLimiter limits the number of datagrams from each source address in consecutive windows of one second.
 type sourceLimiter struct {
 	windowStart    time.Time          // start of the current window of one second
-	datagramCounts map[netip.Addr]int // datagrams in the current window by source address; the zero address counts those of untracked sources
+	datagramCounts map[netip.Addr]int // number of datagrams in the current window by source address; under the zero address, that of all sources without a count of their own
 }
 
 // allow counts a datagram, and reports whether its source has sent at most maxDatagramsPerSource in the current window.
--- a/internal/cluster/transport/delivery.go
+++ b/internal/cluster/transport/delivery.go
@@ -8,15 +8,15 @@
 	"tuliprock/internal/cluster/swim"
 )
 
-// Messages returns the channel of messages that other daemons sent with Send. The channel holds at most
-// messageQueueCapacity messages; further messages are dropped and counted. If two processes have the same name, only the
-// process that is a member in the latest view has its messages delivered; messages of the other process are dropped.
+// Messages returns the channel of messages that other daemons sent with Send. The channel holds at most messageQueueCapacity
+// messages; further messages are dropped and counted. If two processes have the same name, only messages of the process that is
+// a member in this daemon's latest view are delivered; those of the other process are dropped.
 func (t *Transport) Messages() <-chan Message { return t.messages }
 
-// Send sends a message to the member with the given name. An error means that the message was not sent; it is
-// ErrUnknownMember if the view has no such member. A nil error does not mean that the message arrives: a caller that needs
-// delivery must have the receiver acknowledge the message. Send does not wait for the receiver, and body may be reused when
-// Send has returned.
+// Send sends a message to the member with the given name. An error means that the message was not sent; it is ErrUnknownMember
+// if this daemon's view of the cluster has no such member. A nil error does not mean that the message arrives: a caller that
+// needs delivery must have the receiver acknowledge the message. Send does not wait for the receiver, and body may be reused
+// when Send has returned.
 func (t *Transport) Send(name string, kind byte, body []byte) error {
 	options := t.options.Load()
 	receiver, ok := t.member(name)
@@ -45,8 +45,8 @@
 	return members[i], true
 }
 
-// receive delivers the message in the packet b, or drops the packet, and counts the packet as received or dropped. b may
-// be reused when receive has returned.
+// receive delivers the message in the packet b, or drops the packet, and counts the packet as received or dropped. It drops a
+// message of the failure detector with more than maxUpdates updates. b may be reused when receive has returned.
 func (t *Transport) receive(b []byte, maxUpdates int) {
 	if err := t.deliver(b, maxUpdates); err != nil {
 		t.dropped.count(err)
--- a/internal/cluster/transport/eventloop.go
+++ b/internal/cluster/transport/eventloop.go
@@ -7,25 +7,27 @@
 )
 
 const (
-	// minViewInterval is the minimum time between two published views in a cluster of largeClusterMembers or more members,
-	// because building a view copies all members. In a smaller cluster each change is published at once.
+	// minViewInterval is the minimum time between two views that the event loop publishes for View in a cluster of
+	// largeClusterMembers or more members, because building a view copies all members. In a smaller cluster each change is
+	// published at once.
 	minViewInterval     = time.Second / 10
 	largeClusterMembers = 100 // minimum number of members of a cluster in which minViewInterval applies
-	// maxSleep is the longest time for which the event loop waits for a message or a call before it runs again.
+	// maxSleep is the longest time for which the event loop waits for a message or a function to call before it handles the
+	// output of the failure detector again.
 	maxSleep = time.Hour
 	// noContactWarningDelay is the time after the start at which a warning is logged if no message of another daemon has
 	// been received.
 	noContactWarningDelay = 10 * time.Second
 	// maxChangeLogLines is the maximum number of log lines about member state changes in each changeLogInterval.
 	maxChangeLogLines = 20
-	changeLogInterval = time.Second // window of time in which at most maxChangeLogLines are logged
+	changeLogInterval = time.Second // window of time in which at most maxChangeLogLines lines about member state changes are logged
 )
 
 // eventLoop is the state of the goroutine that owns the failure detector. No other goroutine may use its fields.
 type eventLoop struct {
 	transport    *Transport    // transport to which the event loop belongs
 	node         *swim.Node    // failure detector, which only the event loop may use
-	publishedAt  time.Duration // instant at which the latest view was published
+	publishedAt  time.Duration // instant at which the event loop last stored a view for Transport.View
 	packetBuffer []byte        // buffer in which each packet to be sent in a datagram is encoded
 
 	logWindowStart     time.Duration // instant at which the current changeLogInterval began
@@ -34,8 +36,9 @@
 	loggedConflict     swim.Peer     // other process with this daemon's name that was logged last; zero value: none was logged
 }
 
-// runEventLoop passes received messages, calls of callOnEventLoop and due ticks to the failure detector, and handles the
-// output, until the transport ends.
+// runEventLoop passes received messages to the failure detector, runs the functions of callOnEventLoop, and calls the failure
+// detector's Tick when it is due. After each of these it handles the failure detector's output. It returns when the transport
+// ends.
 func (t *Transport) runEventLoop(node *swim.Node) {
 	l := &eventLoop{transport: t, node: node, packetBuffer: make([]byte, 0, MaxDatagramBytes)}
 	timer := time.NewTimer(0)
@@ -58,8 +61,8 @@
 	}
 }
 
-// callOnEventLoop runs a function on the event loop's goroutine. It returns when the function has returned or the transport
-// has ended.
+// callOnEventLoop runs a function on the event loop's goroutine. It returns when the function has returned. If
+// the transport has ended, it returns without running the function.
 func (t *Transport) callOnEventLoop(call func(now time.Duration, node *swim.Node)) {
 	done := make(chan struct{})
 	select {
@@ -69,8 +72,8 @@
 	}
 }
 
-// publish makes the failure detector's current view the one that View returns, and puts a value into the channel that
-// Changed returns.
+// publish makes the failure detector's current view the one that View returns, and signals the change on the channel that
+// ViewChanged returns.
 func (t *Transport) publish(node *swim.Node) {
 	view := node.View()
 	t.view.Store(&view)
@@ -80,7 +83,8 @@
 	}
 }
 
-// sleepTime returns the time until the event loop must run again if no message or call arrives.
+// sleepTime returns how long the event loop may wait for a message or a function to call, before a Tick is due or a view is to
+// be published.
 func (l *eventLoop) sleepTime(now time.Duration) time.Duration {
 	next := l.node.NextTick()
 	if l.hasUnpublishedView() {
@@ -112,7 +116,7 @@
 	l.warnNoContact(now)
 }
 
-// send sends a message of the failure detector, in a datagram if it fits and otherwise in a stream.
+// send sends a message of the failure detector, in a datagram if the message fits and otherwise in a stream.
 func (l *eventLoop) send(e *swim.Envelope) {
 	t, options := l.transport, l.transport.options.Load()
 	if !e.NeedsStream || len(e.Message.Updates) <= swim.MaxPiggybackedUpdates {
@@ -161,7 +165,8 @@
 	}
 }
 
-// warnNoContact logs once that no message has been received from any daemon of the cluster.
+// warnNoContact logs a warning if noContactWarningDelay has passed since the start and no other daemon of the cluster has sent
+// a message. It logs the warning only once.
 func (l *eventLoop) warnNoContact(now time.Duration) {
 	options := l.transport.options.Load()
 	if !l.hasWarnedNoContact && !l.node.HasContact() && len(options.Join) > 0 && now-clockOrigin >= noContactWarningDelay {
--- a/internal/cluster/transport/keys.go
+++ b/internal/cluster/transport/keys.go
@@ -17,17 +17,17 @@
 
 // Key is a secret with which packets are signed (HMAC-SHA256).
 type Key struct {
-	id     [keyIDBytes]byte // ID of the key in packets that it signs; never zero, which marks an unsigned packet
+	id     [keyIDBytes]byte // ID of the key in packets that it signs; never zero, because the ID zero marks an unsigned packet
 	secret []byte           // HMAC key, minKeyBytes to maxKeyBytes long
 }
 
 const (
 	keyIDBytes = 4 // length of a key's ID in a packet, in bytes
 	maxKeys    = 2 // maximum number of keys in a key file
-	// minKeyBytes is the minimum length of a key in bytes. A key of half the length of HMAC-SHA256's output is too long to
-	// guess.
+	// minKeyBytes is the minimum length of a key in bytes: half the length of HMAC-SHA256's output. A key of that length can't
+	// be guessed.
 	minKeyBytes = 16
-	maxKeyBytes = 64 // maximum length of a key in bytes: the block size of SHA-256, since HMAC would hash a longer key
+	maxKeyBytes = 64 // maximum length of a key in bytes: the block size of SHA-256; HMAC would replace a longer key by its hash
 	// malformedKeyFileText is the error text for a malformed key file.
 	malformedKeyFileText = "must contain one or two keys, each on a line of 32 to 128 hexadecimal digits"
 )
@@ -66,7 +66,8 @@
 	return keys, nil
 }
 
-// newKey returns the key with a secret. The key's ID is derived from the secret, so that it is the same at all daemons.
+// newKey returns a Key for a secret. The key's ID is derived from the secret, so that all daemons have the same ID for the
+// secret.
 func newKey(secret []byte) Key {
 	sum := sha256.Sum256(append([]byte("tuliprock key id\x00"), secret...))
 	k := Key{id: [keyIDBytes]byte(sum[:]), secret: secret}
--- a/internal/cluster/transport/message.go
+++ b/internal/cluster/transport/message.go
@@ -56,7 +56,7 @@
 	return appendBytes(b, messageFieldBody, m.Body)
 }
 
-// parseMessage parses a Message that marshal encoded. The result does not refer to b.
+// parseMessage parses a Message that marshal encoded. The result shares no memory with b.
 func parseMessage(b []byte) (*Message, error) {
 	m := &Message{}
 	err := forEachField(b, func(f field) error {
@@ -81,7 +81,7 @@
 	return m, nil
 }
 
-// AppendSwimMessage appends the encoding of a message of the failure detector to b.
+// AppendSwimMessage encodes a message of the failure detector and appends the encoding to b.
 func AppendSwimMessage(b []byte, m *swim.Message) []byte {
 	b = appendVarint(b, swimFieldKind, uint64(m.Kind))
 	b = appendUpdate(b, swimFieldFrom, &m.From)
@@ -99,7 +99,7 @@
 	return b
 }
 
-// appendUpdate appends an update as a length-delimited field to b.
+// appendUpdate appends to b a length-delimited field with the number id that contains the update u.
 func appendUpdate(b []byte, id protowire.Number, u *swim.Update) []byte {
 	var buffer [160]byte // long enough for nearly all updates; appendBytes allocates memory for a longer update
 	ip := u.Addr.Addr().As16()
@@ -122,7 +122,7 @@
 }
 
 // parseSwimMessage parses a swim.Message that AppendSwimMessage encoded. It rejects a message with more than maxUpdates
-// updates. The result does not refer to b.
+// updates. The result shares no memory with b.
 func parseSwimMessage(b []byte, maxUpdates int) (*swim.Message, error) {
 	m := &swim.Message{}
 	err := forEachField(b, func(f field) (err error) {
--- a/internal/cluster/transport/metrics.go
+++ b/internal/cluster/transport/metrics.go
@@ -10,10 +10,10 @@
 	Received        uint64 // packets that were received, authenticated and not dropped
 	Sent            uint64 // packets sent without an error
 	BytesSent       uint64 // total length of the packets sent, in bytes
-	Malformed       uint64 // packets dropped because they were malformed, too long or truncated
-	Foreign         uint64 // packets dropped because they had another format version, or came from another cluster or from a process that is no member in the view
+	Malformed       uint64 // packets dropped because they were malformed, truncated, or too long for a datagram or a stream
+	Foreign         uint64 // packets dropped because they had another format version, were of another cluster, or had a message from a process that is not in this daemon's view
 	Unauthenticated uint64 // packets dropped because they were signed with an unknown key, or altered
-	Replayed        uint64 // packets dropped because they were received before, or were older than the replay window
+	Replayed        uint64 // packets dropped because they were received before, or may have been because they were too old for the replay window
 	RateLimited     uint64 // packets dropped because their source address exceeded its rate limit
 	QueueFull       uint64 // packets dropped because a queue was full or maxStreams outgoing streams were open
 }
@@ -47,8 +47,8 @@
 	malformed, foreign, unauthenticated, replayed, rateLimited, queueFull atomic.Uint64
 }
 
-// count counts a packet that was dropped because of err. An error without a counter of its own, such as that of a truncated
-// stream, counts as malformed.
+// count counts a packet that was dropped because of err. A packet that was dropped because of an error without a counter of its
+// own, such as the end of a stream before the end of the packet, is counted as malformed.
 func (d *dropCounters) count(err error) {
 	switch {
 	case errors.Is(err, errVersionMismatch), errors.Is(err, errClusterMismatch), errors.Is(err, errUnknownSender):
--- a/internal/cluster/transport/streams.go
+++ b/internal/cluster/transport/streams.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// maxStreams is the maximum number of outgoing streams, and of incoming streams, that are open at once.
+	// maxStreams is the maximum number of outgoing streams that are open at once, and also the maximum number of incoming ones.
 	maxStreams = 8
 	// streamTimeout is the maximum duration of a stream, from the dial or the accept to the last byte.
 	streamTimeout = 2 * time.Second
-	// maxStreamBytes is the maximum length of a packet in a stream. The longest packets fit: a snapshot of the replicated
-	// state has at most 7 MiB, and swim.MaxMembers updates have 1.9 MB.
+	// maxStreamBytes is the maximum length of a packet in a stream. The longest packets fit: a snapshot of the state that the
+	// voters replicate has at most 7 MiB, and swim.MaxMembers updates have 1.9 MB.
 	maxStreamBytes = 8 << 20
 	// streamHeaderBytes is the length in bytes of a stream's header. The header contains the length of the packet as a
 	// big-endian number.
@@ -26,8 +26,9 @@
 	acceptRetryDelay = 5 * time.Millisecond
 )
 
-// startStream sends a packet on a new connection, in a goroutine. b begins with streamHeaderBytes unused bytes for the
-// length. An error means that maxStreams streams are open; later errors of the stream are not reported.
+// startStream sends a packet on a new connection, in a goroutine. In b, streamHeaderBytes unused bytes, into which startStream
+// writes the packet's length, precede the packet. An error means that maxStreams outgoing streams are open. Errors of the
+// connection are not reported.
 func (t *Transport) startStream(options *Options, to netip.AddrPort, b []byte) error {
 	select {
 	case t.outboundStreams <- struct{}{}:
@@ -44,8 +45,8 @@
 	return nil
 }
 
-// writeStream connects to a daemon, writes b, and returns the number of bytes written. It is canceled after streamTimeout or
-// when the transport ends.
+// writeStream connects to a daemon, writes b (a header and a packet), and returns the number of bytes written. It is canceled
+// after streamTimeout or when the transport ends.
 func (t *Transport) writeStream(options *Options, to netip.AddrPort, b []byte) (int, error) {
 	ctx, cancel := context.WithTimeout(t.ctx, streamTimeout)
 	defer cancel()
@@ -62,8 +63,8 @@
 	return conn.Write(b)
 }
 
-// acceptStreams receives streams until the transport ends, at most maxStreams at a time. Further connections wait in the
-// listener's backlog.
+// acceptStreams receives streams of other daemons until the transport ends, at most maxStreams at a time. Further connections
+// wait in the listener's backlog.
 func (t *Transport) acceptStreams() {
 	inboundStreams := make(chan struct{}, maxStreams)
 	for {
--- a/internal/cluster/transport/transport.go
+++ b/internal/cluster/transport/transport.go
@@ -7,10 +7,9 @@
 // each direction, each of which runs for at most streamTimeout. All of them end before Abort or Close returns. No client
 // request waits for any of them.
 //
-// The methods of a Transport may be called concurrently, but Reconfigure by only one goroutine at a time, and Close and
-// Abort only once. View, Now, Metrics, Changed, Messages and Addr never block. Delivery is not guaranteed: packets that
-// can't be authenticated, are replayed, exceed the rate limit of their source or meet a full queue are dropped, and counted
-// by reason.
+// The methods of a Transport may be called concurrently, but Reconfigure by only one goroutine at a time, and Close and Abort
+// only once. View, Now, Metrics, ViewChanged, Messages and Addr never block. Delivery is not guaranteed: packets that can't be
+// authenticated, are replayed, exceed the rate limit of their source or meet a full queue are dropped, and counted by reason.
 package transport
 
 import (
@@ -29,8 +28,8 @@
 )
 
 const (
-	// inboxCapacity is the number of messages that may wait for the failure detector: as many as arrive between two ticks
-	// while all members of a cluster change their state.
+	// inboxCapacity is the number of messages that may wait for the failure detector: as many as arrive between two calls of
+	// its Tick while all members of a cluster change their state.
 	inboxCapacity = 512
 	// messageQueueCapacity is the number of messages that may wait in the channel of Messages.
 	messageQueueCapacity = 256
@@ -50,17 +49,17 @@
 	generation  uint64                  // identifier of this process (newGeneration)
 	clockStart  time.Time               // instant at which the failure detector's clock read clockOrigin
 
-	ctx        context.Context    // canceled by Abort
+	ctx        context.Context    // context of all goroutines of the transport, which end when Abort cancels it
 	stop       context.CancelFunc // cancels ctx
 	goroutines sync.WaitGroup     // all goroutines of the transport, for which Abort waits
 
 	inbox          chan *swim.Message                            // received messages of the failure detector, for the event loop
 	eventLoopCalls chan func(now time.Duration, node *swim.Node) // functions that the event loop is to call
-	messages       chan Message                                  // received messages that other daemons sent with Send, for the users of Messages
-	view           atomic.Pointer[swim.View]                     // latest view that the event loop has published
-	viewChanged    chan struct{}                                 // holds a value if the view has changed since the last receive from the channel
+	messages       chan Message                                  // received messages that other daemons sent with Send; the channel that Messages returns
+	view           atomic.Pointer[swim.View]                     // latest view of the cluster, which View returns
+	viewChanged    chan struct{}                                 // holds a value while the view has changed since the last receive from this channel
 
-	lastSequence    atomic.Uint64 // sequence number of the latest packet that this process encoded
+	lastSequence    atomic.Uint64 // sequence number of the latest packet that this process has prepared for sending
 	outboundStreams chan struct{} // holds a value for each outgoing stream that is open, at most maxStreams
 	replayFilterMu  sync.Mutex    // guards replayFilter
 	replayFilter    replayFilter  // recognizes packets that were received before
@@ -71,7 +70,8 @@
 	dropped   dropCounters  // numbers of dropped packets, by the reason for dropping them
 }
 
-// Start opens the sockets and starts to join the cluster. An error names the configuration field that caused it.
+// Start opens the sockets and starts goroutines that join the cluster. An error names the field of the daemon's configuration
+// that caused it.
 func Start(options Options) (*Transport, error) {
 	if len(options.Keys) == 0 && !options.Listen.Addr().IsLoopback() {
 		return nil, fmt.Errorf("fleet.listen: %v is not a loopback address, so key_file must be set", options.Listen)
@@ -123,13 +123,13 @@
 // Addr returns the address to which the sockets are bound.
 func (t *Transport) Addr() netip.AddrPort { return t.options.Load().Listen }
 
-// View returns the latest published view. The caller must not modify the view, which all callers share.
+// View returns this daemon's latest view of the cluster. The caller must not modify the view, which all callers share.
 func (t *Transport) View() *swim.View { return t.view.Load() }
 
 // ViewChanged returns a channel that holds a value if the view has changed since the last receive from the channel.
 func (t *Transport) ViewChanged() <-chan struct{} { return t.viewChanged }
 
-// Reconfigure replaces Keys, Join, Voters and Timing. The other options stay as they were passed to Start.
+// Reconfigure replaces the options Keys, Join, Voters and Timing. The other options stay as they were passed to Start.
 func (t *Transport) Reconfigure(options Options) {
 	next := *t.options.Load()
 	next.Keys, next.Join, next.Voters, next.Timing = options.Keys, options.Join, options.Voters, options.Timing
--- a/internal/cluster/transport/transport_test.go
+++ b/internal/cluster/transport/transport_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// startTransport starts a transport with options, which is aborted at the end of the test.
+// startTransport starts a transport with options, and aborts the transport at the end of the test.
 func startTransport(t *testing.T, options Options) *Transport {
 	t.Helper()
 	tr, err := Start(options)
--- a/internal/cluster/transport/wire.go
+++ b/internal/cluster/transport/wire.go
@@ -21,14 +21,15 @@
 	return append(b, v...)
 }
 
-// field is a parsed field of a message. The wire type of the field determines which of number and bytes has its value.
+// field is a parsed field of a message. Its value is in number or in bytes, depending on the wire type.
 type field struct {
 	id     protowire.Number // number that identifies the field in its message
 	number uint64           // value of a varint or fixed64 field
 	bytes  []byte           // value of a length-delimited field, a subslice of the parsed message
 }
 
-// forEachField calls visit with each field of b in order, and stops with the first error.
+// forEachField parses the fields of the encoded message b one after another and calls visit with each. It returns the first
+// error, of visit or of the parsing, at once.
 func forEachField(b []byte, visit func(f field) error) error {
 	for len(b) > 0 {
 		id, wireType, n := protowire.ConsumeTag(b)
