--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -58,7 +58,7 @@
 
 // setEjected ejects an endpoint manually, or ends its ejection: on this daemon at once, and then on all members of a
 // cluster that agrees on settings. It logs the command unless the endpoint's ID is unknown: anyone who can connect to the
-// operators' address could fill the log with unknown IDs.
+// admin address could fill the log with unknown IDs.
 func (s *Sidecar) setEjected(ctx context.Context, id string, isEjected bool) (string, error) {
 	outcome, err := s.overrides.setEjected(ctx, id, isEjected)
 	if err == nil {
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -20,13 +20,13 @@
 // enableAdmin configures an address for operators' commands.
 func enableAdmin(c *config.Service) { c.AdminAddress, c.MaxOperatorConnections = "127.0.0.1:0", 8 }
 
-// adminCommand sends one command to the operators' address and returns the response.
+// adminCommand sends one command to the admin address and returns the response.
 func (s *platformSidecar) adminCommand(t *testing.T, line string) string {
 	t.Helper()
 	return adminCommand(t, s.admin.Addr().String(), line)
 }
 
-// adminCommand sends one command to an operators' address and returns the response.
+// adminCommand sends one command to an admin address and returns the response.
 func adminCommand(t *testing.T, addr, line string) string {
 	t.Helper()
 	nc, err := net.Dial("tcp", addr)
@@ -239,7 +239,7 @@
 	}
 }
 
-// A reload with an operators' address that is in use fails and names the setting; later reloads open and close the address.
+// A reload with an admin address that is in use fails and names the setting; later reloads open and close the address.
 func TestAdminAddressInUseFailsReload(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/sidecar/overrides.go
+++ b/internal/sidecar/overrides.go
@@ -20,7 +20,7 @@
 	catchUpTimeout = 500 * time.Millisecond
 )
 
-// Errors of the commands set-down and set-up. Clients of the operators' address may match their texts.
+// Errors of the commands set-down and set-up. Clients of the admin address may match their texts.
 var (
 	// errUnknownEndpoint is the error of a command about an endpoint that is neither listed nor ejected.
 	errUnknownEndpoint = errors.New("no endpoint of this id is listed")
@@ -151,7 +151,7 @@
 
 // setEjected ejects an endpoint manually, or ends its ejection. It returns once all pools have applied the change and the
 // shared directory has recorded it, with a description of the outcome for the operator. After errUnconfirmed the change
-// may still take effect. Clients of the operators' address may match the texts of the errors.
+// may still take effect. Clients of the admin address may match the texts of the errors.
 func (o *overrides) setEjected(ctx context.Context, id string, isEjected bool) (string, error) {
 	if err := o.acquire(ctx); err != nil {
 		return "", errUnconfirmed
--- a/internal/sidecar/settings.go
+++ b/internal/sidecar/settings.go
@@ -161,7 +161,7 @@
 
 // proposeEjection proposes to the cluster a manual ejection, or its end, that was applied on this daemon. It returns a
 // text to append to the response to the operator, and an empty text if the cluster does not agree on settings. Clients of
-// the operators' address may match this text.
+// the admin address may match this text.
 func (n *clusterNode) proposeEjection(ctx context.Context, id string, isEjected bool) string {
 	if !n.hasConsensus() {
 		return ""
--- a/internal/sidecar/settings_command.go
+++ b/internal/sidecar/settings_command.go
@@ -24,7 +24,7 @@
 // argumentCount gives the smallest and the largest number of arguments that a settings command takes.
 type argumentCount struct{ min, max int }
 
-// settingsCommands are the commands that may follow the word settings on a line to the operators' address.
+// settingsCommands are the commands that may follow the word settings on a line to the admin address.
 var settingsCommands = map[string]argumentCount{
 	"put":           {4, 4},
 	"remove":        {3, 3},
@@ -36,7 +36,7 @@
 	"show":          {1, 2},
 }
 
-// handleSettings executes the command that follows the word settings on a line to the operators' address, and writes the
+// handleSettings executes the command that follows the word settings on a line to the admin address, and writes the
 // result:
 //
 //	put ID EXPECT NAME BYTES      stores a document; EXPECT: the version that must be the latest, or - for any
@@ -77,7 +77,7 @@
 	return status.WriteResult(w, result)
 }
 
-// parseSettingsCommand parses a command and its arguments. Clients of the operators' address may match the texts of its
+// parseSettingsCommand parses a command and its arguments. Clients of the admin address may match the texts of its
 // errors.
 func (n *clusterNode) parseSettingsCommand(name string, args []string, body []byte) (*consensus.Command, error) {
 	count, isKnown := settingsCommands[name]
@@ -114,7 +114,7 @@
 	return c, err
 }
 
-// parseDocumentChange parses the arguments of the commands put, remove and back. Clients of the operators' address may
+// parseDocumentChange parses the arguments of the commands put, remove and back. Clients of the admin address may
 // match the texts of its errors.
 func parseDocumentChange(c *consensus.Command, name string, args []string, body []byte) error {
 	if args[1] != "-" {
