--- a/internal/testkit/clusterinvariant/membership.go
+++ b/internal/testkit/clusterinvariant/membership.go
@@ -15,7 +15,7 @@
 // Rule identifies an invariant of a cluster by the name that results give it.
 type Rule string
 
-// CheckMembership checks these rules against the timeline of a cluster.
+// These rules are the invariants against which CheckMembership checks the timeline of a cluster.
 const (
 	// FailureDetected: all running daemons detect within Limits.DetectWithin that another daemon's process has ended.
 	FailureDetected Rule = "who is gone is found out in time"
@@ -36,7 +36,8 @@
 // EventKind says which fact or observation an Event records.
 type EventKind int
 
-// StateObserved records what a daemon reported. All other kinds of events are facts: what was done to daemons, links or processes.
+// An event of the kind StateObserved records what a daemon reported. An event of any other kind is a fact: it records what was done to
+// daemons, links or processes.
 const (
 	Started       EventKind = iota // Subject's process was started and responds
 	Killed                         // Subject's process was killed without announcing that it leaves
@@ -71,7 +72,7 @@
 	Text string
 }
 
-// Verdict is the result of CheckMembership.
+// Verdict holds the violations that CheckMembership found, how often it tested each rule, and the slowest reactions of the cluster.
 type Verdict struct {
 	Violations         []Violation
 	TestedOccasions    map[Rule]int  // number of occasions on which each rule was tested; a rule without an entry was not tested
@@ -129,13 +130,14 @@
 	return !c.faultActive && now-c.lastFactAt >= c.limits.SettleWithin
 }
 
-// applyFact applies an event of any kind but StateObserved.
+// applyFact records a fact, which is an event of any kind but StateObserved. If the fact is the end of a daemon while no fault is active, it
+// sets the deadlines by which the other running daemons must detect the end.
 func (c *checker) applyFact(e Event) {
 	c.lastFactAt, c.converged = e.At, false
 	switch e.Kind {
 	case FaultBegan, FaultsEnded:
 		c.faultActive = e.Kind == FaultBegan
-		clear(c.pendingDetections) // a fault may delay detections; after the fault, the rule ViewsConverge checks the views
+		clear(c.pendingDetections) // a fault may delay detections, so their deadlines are dropped; after the fault, the rule ViewsConverge checks the views
 		return
 	case Started:
 		delete(c.views, e.Subject) // a new process starts with an empty view
@@ -166,10 +168,11 @@
 	}
 }
 
-// applyObservation applies an event of the kind StateObserved.
+// applyObservation records the state that an observer reports of a subject, from an event of the kind StateObserved, and checks it against
+// the rules.
 func (c *checker) applyObservation(e Event) {
 	if c.status[e.Observer] != Started {
-		return // views of an observer that is shutting down or has ended are not checked
+		return // reports of an observer that is shutting down or has ended are not checked
 	}
 	view := c.views[e.Observer]
 	if view == nil {
--- a/internal/testkit/clusterinvariant/membership_test.go
+++ b/internal/testkit/clusterinvariant/membership_test.go
@@ -28,7 +28,7 @@
 	return events
 }
 
-// The first violation that CheckVersions finds is of the rule that the reports of a case break; if they break none, CheckVersions finds no
+// If the reports of a case break a rule, the first violation that CheckVersions finds is of this rule; otherwise CheckVersions finds no
 // violation. Each case appends its reports to those of two daemons that act on version 1. A daemon may act on a version for 2 s after
 // another daemon has begun to act on a later one.
 func TestCheckVersionsFindsBrokenRules(t *testing.T) {
--- a/internal/testkit/clusterinvariant/versions.go
+++ b/internal/testkit/clusterinvariant/versions.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// CheckVersions checks these rules against the reports of daemons.
+// These rules are the invariants against which CheckVersions checks the reports of daemons.
 const (
 	// NoContradiction: once some daemon acts on a version, no daemon acts on an earlier one for longer than
 	// CheckVersions' maxContradiction.
@@ -28,7 +28,7 @@
 	Digest      string // text that identifies the content of the version, to compare between daemons
 }
 
-// VersionVerdict is the result of CheckVersions.
+// VersionVerdict holds the violations that CheckVersions found in the reports, and what it counted and measured.
 type VersionVerdict struct {
 	Violations           []Violation
 	Reports              int           // number of reports that were checked
@@ -60,7 +60,7 @@
 		p := process{report.Daemon, report.Incarnation}
 		if previous := latest[p]; report.Version >= previous.version {
 			latest[p] = latestReport{report.Version, report.ReportedAt}
-		} else if report.RequestedAt > previous.reportedAt { // if the polls of both reports overlapped, the process may have sent this response before the previous one
+		} else if report.RequestedAt > previous.reportedAt { // overlapping polls prove no step back, since the process may have answered them in the opposite order
 			verdict.Violations = append(verdict.Violations, Violation{VersionsConsistent, report.ReportedAt, fmt.Sprintf("%s goes back from version %d to %d", report.Daemon, previous.version, report.Version)})
 		}
 		if digest, ok := digests[report.Version]; ok && digest != report.Digest {
--- a/internal/testkit/eventqueue/eventqueue.go
+++ b/internal/testkit/eventqueue/eventqueue.go
@@ -34,7 +34,7 @@
 	heap.Push(&q.entries, e)
 }
 
-// PopDue removes and returns the first entry. ok is false if no entry is due at until or earlier.
+// PopDue removes and returns the first entry if it is due by the time until, inclusive. Otherwise ok is false, and the queue stays as it is.
 func (q *Queue[T]) PopDue(until time.Duration) (e Entry[T], ok bool) {
 	if len(q.entries) == 0 || q.entries[0].At > until {
 		return e, false
--- a/internal/testkit/faultnet/faultnet.go
+++ b/internal/testkit/faultnet/faultnet.go
@@ -56,8 +56,8 @@
 // linkKey identifies a link by the names of the sending and the receiving process.
 type linkKey struct{ from, to string }
 
-// randStream is the second half of the seed of a Network's random generator. Another generator whose seed has the same first half thus
-// draws other numbers.
+// randStream is the second half of the seed of a Network's random generator; the first half is New's parameter seed. Generators for other
+// purposes that are given the same seed draw other numbers if their second half differs.
 const randStream = 2
 
 // New returns a Network without relays. Random faults are drawn from the seed. onLinkChange, which may be nil, is called with
@@ -108,8 +108,8 @@
 	return relayAddr, nil
 }
 
-// SetLink replaces the faults of the link from one process to another. If l.Reset is set, SetLink also resets the connections that
-// are open between the two processes, whichever of them opened the connection.
+// SetLink replaces the faults of the link from one process to another. If l.ResetsConnections is set, SetLink also resets the
+// connections that are open between the two processes, whichever of them opened the connection.
 func (n *Network) SetLink(from, to string, l Link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -124,13 +124,13 @@
 	n.onLinkChange(fmt.Sprintf("link from %s to %s: %+v", from, to, l))
 }
 
-// SetLinksBetween sets the links between every process of group and every process of others, in both directions.
+// SetLinksBetween replaces the faults of all links between a process of group and a process of others by l, in both directions.
 func (n *Network) SetLinksBetween(group, others []string, l Link) {
 	n.SetLinksOneWay(group, others, l)
 	n.SetLinksOneWay(others, group, l)
 }
 
-// SetLinksOneWay sets the links from every process of senders to every process of receivers.
+// SetLinksOneWay replaces the faults of the link from each process of senders to each other process of receivers by l.
 func (n *Network) SetLinksOneWay(senders, receivers []string, l Link) {
 	for _, from := range senders {
 		for _, to := range receivers {
@@ -336,8 +336,8 @@
 	}
 }
 
-// waitWhileCut returns when a link is not cut, or when the Network is closed. Each check draws random faults, of which waitWhileCut
-// uses only Cut.
+// waitWhileCut returns when a link is not cut, or when the Network is closed. Of the faults that drawFaults returns, it
+// uses only IsCut; the random ones are drawn without effect.
 func (n *Network) waitWhileCut(key linkKey) {
 	for n.ctx.Err() == nil && n.drawFaults(key).IsCut {
 		n.sleep(cutPollInterval)
--- a/internal/testkit/fleetsim/day.go
+++ b/internal/testkit/fleetsim/day.go
@@ -17,7 +17,7 @@
 	Sidecars    int           // approximate number of sidecars of all tiers together
 	Scenario    string        // name of the faults, one of Scenarios
 	Length      time.Duration // time during which clients send requests
-	Utilization float64       // mean demand as a fraction of the highest demand that all tiers have the capacity for
+	Utilization float64       // mean rate of clients' requests, as a fraction of the highest rate for which every tier has enough capacity
 	SlowStart   SlowStart     // slow start of endpoints; the zero value stands for defaultSlowStart
 }
 
@@ -32,7 +32,8 @@
 // defaultSlowStart holds the slow start that endpoints have if Day.SlowStart is not set.
 var defaultSlowStart = SlowStart{InitialCapacity: 0.31, Duration: 9 * time.Second, OverloadFactor: 4, OverloadWindow: 3 * time.Second}
 
-// Scenarios returns the names of all scenarios, in the order in which they are reported:
+// Scenarios returns the names of all scenarios, in the order in which they are reported. Front sidecars are those that receive the
+// clients' requests.
 //
 //	calm   no faults
 //	roll   half of the endpoints are replaced, and all front sidecars restart, one group after another
@@ -42,7 +43,8 @@
 //	join   most endpoints are replaced within seven seconds
 func Scenarios() []string { return []string{"calm", "roll", "herd", "zone", "split", "join"} }
 
-// Day.Check enforces these bounds. Fewer sidecars would leave tiers of almost no endpoints; larger simulations would take minutes.
+// Day.Check rejects a Day outside these bounds. With fewer sidecars some tiers would have almost no endpoints; larger simulations would take
+// minutes.
 const (
 	minSidecars = 20
 	maxSidecars = 2000
@@ -74,11 +76,11 @@
 	work             float64       // mean CPU time of a request in all tiers, in seconds of a core of speed 1
 	latencyObjective time.Duration // time after the start of a request within which its response counts as in time
 	timeout          time.Duration // time from a client's first attempt to send a request, or from an endpoint's call to the next tier, until the deadline
-	weight           float64       // priority weight, which is the value of one request
+	weight           float64       // priority weight of each request; Result adds up the weights of all requests and of those served in time
 }
 
-// classes are the request classes of every simulation: those of one installation, the default site, whose requirements give ranges for the
-// figures. The figures here are from the middle of these ranges.
+// classes are the request classes of every simulation: those of one installation, which is called the default site. Each figure is from the
+// middle of the range that the requirements of this site give for it.
 var classes = []class{
 	{"item-lookup", false, 0.75, 0.10, 2 * time.Second, 5 * time.Second, 5},
 	{"bag-dispatch", true, 0.25, 0.31, 2500 * time.Millisecond, 6 * time.Second, 3},
@@ -116,7 +118,7 @@
 	wireDelay      = 500 * time.Microsecond  // delay of a message in one direction
 	handshakeDelay = 1500 * time.Microsecond // time that opening a connection takes in addition to a round trip
 	maxConnections = 40                      // highest number of connections that an endpoint accepts, low enough for sidecars to reach the limit
-	idleTimeout    = 15 * time.Second        // time after which a sidecar closes an idle connection
+	idleTimeout    = 15 * time.Second        // time since the last use of a connection after which the sidecar closes it
 	meanListDelay  = 800 * time.Millisecond  // mean time until a sidecar receives a change of the endpoint list
 )
 
--- a/internal/testkit/fleetsim/endpoint.go
+++ b/internal/testkit/fleetsim/endpoint.go
@@ -27,7 +27,7 @@
 	openConnections  int                 // number of open connections from all sidecars
 	busyCores        int                 // number of cores in use, at most coresPerEndpoint
 	cpuQueue         []func(done func()) // tasks that wait for a core, oldest first; see runOnCore
-	recentColdWork   []timedWork         // work received within the latest overload window while the endpoint was warming up
+	recentColdWork   []timedWork         // work that the endpoint received while it was warming up, within the latest SlowStart.OverloadWindow
 	ownSidecar       *sidecar            // sidecar through which the endpoint calls the tier below; nil in the last tier
 	listedState      balance.State       // state that discovery lists for the endpoint
 	isGone           bool                // whether the endpoint has been replaced, so that discovery does not list it any more
@@ -153,8 +153,8 @@
 	})
 }
 
-// callTierBelow sends callsLeft requests to the tier below, one after another, and then calls finish. After the first request that fails
-// no more are sent.
+// callTierBelow sends callsLeft requests to the tier below, one after another, and calls finish with balance.OK if all succeed. After the
+// first request that fails, it sends no more and calls finish with balance.ErrorResponse. If the endpoint is killed, finish is not called.
 func (e *endpoint) callTierBelow(a *attempt, key string, callsLeft int, finish func(balance.Result)) {
 	if callsLeft == 0 {
 		finish(balance.OK)
@@ -209,8 +209,9 @@
 	return false
 }
 
-// addColdWork counts work that the endpoint receives while it is warming up. Too much work within the overload window
-// overloads the endpoint.
+// addColdWork counts the work of an attempt that the endpoint receives while it is warming up. The endpoint becomes overloaded if the work
+// received within SlowStart.OverloadWindow exceeds a limit by more than the fraction overloadTolerance. The limit is SlowStart.OverloadFactor
+// times what the present capacity can process in this time.
 func (e *endpoint) addColdWork(work float64) {
 	if e.capacityFraction() == 1 {
 		return
--- a/internal/testkit/fleetsim/fleet_test.go
+++ b/internal/testkit/fleetsim/fleet_test.go
@@ -110,7 +110,7 @@
 
 func (b *newestEndpointBalancer) Timer(time.Duration) {}
 
-// neverRespondingBalancer is a balancer that accepts requests and never has a response sent.
+// neverRespondingBalancer is a balancer that accepts requests, but neither sends attempts to endpoints nor responds to the clients.
 type neverRespondingBalancer struct{ balance.Events }
 
 func (neverRespondingBalancer) Request(time.Duration, balance.Request) {}
@@ -178,7 +178,8 @@
 	}
 }
 
-// For an invalid day Run returns an error that begins with the name by which users of the simulation know the invalid field.
+// For an invalid day Run returns an error that begins with the outer name of the invalid field, such as "use", the flag for
+// Utilization.
 func TestInvalidDaysAreRejected(t *testing.T) {
 	valid := smallDay("calm")
 	for field, invalidate := range map[string]func(*Day){
--- a/internal/testkit/fleetsim/run.go
+++ b/internal/testkit/fleetsim/run.go
@@ -33,11 +33,11 @@
 	Attempts          [3]int            `json:"attempts"`    // attempts that arrived at endpoints, by tier
 	Connections       int               `json:"connections"` // connections that sidecars opened to endpoints, in all tiers
 	DiscoveryMessages int               `json:"lists"`       // number of endpoint lists and updates that sidecars received
-	PeakColdLoad      float64           `json:"cold_most"`   // most work on a warming endpoint within the overload window, as a multiple of what overloads it
+	PeakColdLoad      float64           `json:"cold_most"`   // most work that a warming endpoint received within SlowStart.OverloadWindow, as a multiple of the limit that SlowStart.OverloadFactor sets
 	Rules             *invariant.Report `json:"rules"`       // verdicts on the four invariants of package invariant
 }
 
-// ServedFraction returns the fraction of the offered value that was served in time.
+// ServedFraction returns the sum of the priority weights of the requests served in time, as a fraction of the sum over all requests.
 func (r *Result) ServedFraction() float64 { return r.ServedValue / max(r.OfferedValue, 1) }
 
 // Amplification returns the attempts that arrived at a tier relative to those needed if nothing was retried or lost.
@@ -185,7 +185,7 @@
 	}
 }
 
-// restartSidecar kills a front sidecar and starts it a second later with the endpoint list that it had.
+// restartSidecar kills a front sidecar and starts it a second later with the endpoint list that it had when it was killed.
 func (sim *simulation) restartSidecar(s *sidecar) {
 	list := s.lastList
 	s.kill()
--- a/internal/testkit/fleetsim/sidecar.go
+++ b/internal/testkit/fleetsim/sidecar.go
@@ -19,7 +19,7 @@
 	balancer    balance.Events             // balancer of the running process
 	lastList    balance.EndpointUpdate     // complete endpoint list that discovery had when the sidecar received its latest update
 	endpoints   map[string]*endpoint       // endpoints that were ever listed to this process, by ID
-	requests    map[string]*request        // requests that have no response yet or an attempt in flight, by ID
+	requests    map[string]*request        // requests that still wait for their final response or still have an attempt in flight, by ID
 	idleSince   map[string][]time.Duration // for each idle connection, the time since which it has been idle; by endpoint ID
 	deferred    []func()                   // functions to run once the balancer has returned from the event that it handles now
 	isCutOff    bool                       // whether messages between the sidecar and the endpoints in cutZone are lost; no scenario sets isCutOff
@@ -78,7 +78,7 @@
 	s.applyList(list)
 }
 
-// endpointList returns the complete list of a tier, as discovery has it now.
+// endpointList returns the complete list of a tier's endpoints, as discovery has it now.
 func (sim *simulation) endpointList(tier int) balance.EndpointUpdate {
 	list := balance.EndpointUpdate{Complete: true}
 	for _, e := range sim.tiers[tier] {
@@ -89,7 +89,7 @@
 	return list
 }
 
-// listEntry returns the entry of the endpoint in the endpoint list.
+// listEntry returns the entry by which discovery now lists the endpoint, with its state and properties.
 func (e *endpoint) listEntry() balance.Endpoint {
 	return balance.Endpoint{ID: e.id, State: e.listedState, Zone: fmt.Sprint("z", e.zone), Kind: e.kind, Cell: e.cell, StartedAt: e.startedAt}
 }
--- a/internal/testkit/fleetsim/simulation.go
+++ b/internal/testkit/fleetsim/simulation.go
@@ -113,8 +113,8 @@
 	return 1
 }
 
-// sendClientRequest sends a request of a client to a front sidecar and adds its outcome to the result. The client retries a request
-// that was rejected or failed, and uses a random other front sidecar while its own is down.
+// sendClientRequest sends a request of a client to front sidecar s and adds the request's outcome to the result. The client retries a request
+// that was rejected, failed or was lost. While s is down, the client tries random front sidecars to find one that is up.
 func (sim *simulation) sendClientRequest(s *sidecar, class int) {
 	c := classes[class]
 	startedAt, key := sim.now, sim.nextName("k")
--- a/internal/testkit/raftsim/checker.go
+++ b/internal/testkit/raftsim/checker.go
@@ -7,7 +7,7 @@
 	"tuliprock/internal/cluster/consensus"
 )
 
-// maxViolations bounds the violations that a Checker reports.
+// maxViolations is the highest number of violations that a Checker keeps; further ones are dropped.
 const maxViolations = 100
 
 // Checker verifies what voters commit and which versions daemons act on. Its zero value is ready for use.
@@ -16,8 +16,8 @@
 	MaxOverlap time.Duration // longest time for which a daemon acted on a version after another had begun to act on a later one
 
 	digestByVersion map[uint64][32]byte // digest of the documents that daemons acted on, by version
-	firstDecisions  []firstDecision     // first decision of any daemon under each version, in ascending order of versions; the oldest ones are dropped
-	versionByID     map[string]uint64   // version that each committed command made, by command ID
+	firstDecisions  []firstDecision     // first time that any daemon acted on each version, ascending; versions first acted on after a later one are left out, and of more than 1000 entries the oldest are dropped
+	versionByID     map[string]uint64   // version in the result of each committed command, by command ID
 	idByVersion     map[uint64]string   // ID of the committed command that made each version, by version
 	latestVersion   uint64              // highest version that a committed command made
 }
@@ -46,7 +46,8 @@
 	if lastIndex := len(c.firstDecisions) - 1; lastIndex < 0 || version > c.firstDecisions[lastIndex].version {
 		c.firstDecisions = append(c.firstDecisions, firstDecision{version, now})
 	}
-	// The first entry whose version is later is the earliest decision of any daemon under a later version.
+	// Entries ascend by version and time, so the first entry with a version later than the daemon's version has the earliest time at which any
+	// daemon acted on a later version.
 	for _, first := range c.firstDecisions {
 		if first.version > version {
 			c.MaxOverlap = max(c.MaxOverlap, now-first.at)
--- a/internal/testkit/raftsim/client.go
+++ b/internal/testkit/raftsim/client.go
@@ -6,15 +6,16 @@
 	"tuliprock/internal/cluster/consensus"
 )
 
-// proposal is a put or a revert of a document. proposePuts proposes it again until a voter has applied it.
+// proposal is a command that puts or reverts a document. While it is one of the latest commands, proposePuts proposes it repeatedly until a
+// voter has applied it.
 type proposal struct {
 	command     *consensus.Command
 	isCommitted bool // some voter has applied the command
 }
 
-// reconfigure proposes to a random voter a change of the voter slots that the voter's state lists. If a slot belongs to a daemon whose
-// disk is not bound to the slot, since the disk was lost or the daemon's voter has not started yet, the change removes the slot.
-// Otherwise it adds a random daemon if there are at most Options.Voters slots, and removes a random voter if there are more.
+// reconfigure proposes to a random voter a change of the voter slots in that voter's state. If a daemon has a slot, but its disk does not
+// belong to the slot, since the earlier disk was lost or the daemon's voter has not started yet, the change removes the slot. Otherwise it
+// adds a random daemon if there are at most Options.Voters slots, and removes a random voter if there are more.
 func (s *Simulation) reconfigure() {
 	if s.isQuiescent {
 		return
@@ -71,7 +72,7 @@
 			command.Put, command.Revert = nil, &consensus.DocumentVersion{Name: "doc-0", Version: s.Checker.latestVersion / 2}
 		}
 		s.proposals[id] = &proposal{command: command}
-		if s.lastPutNumber%(2*rejectedPutPeriod) == 0 { // every second put that daemons reject is activated by force
+		if s.lastPutNumber%(2*rejectedPutPeriod) == 0 { // simulates operators who force every second version that daemons reject to be activated
 			s.schedule(nil, s.Now+s.options.PutInterval/2, s.forcePendingVersion)
 		}
 	}
--- a/internal/testkit/raftsim/node.go
+++ b/internal/testkit/raftsim/node.go
@@ -244,7 +244,8 @@
 	}
 }
 
-// errUnsupportedSetting is the error with which daemons of odd index reject a version whose rejectableDoc ends with rejectedSuffix.
+// errUnsupportedSetting is the error with which daemons of odd index reject a version in which the body of rejectableDoc ends with
+// rejectedSuffix.
 var errUnsupportedSetting = errors.New("this build does not support the setting")
 
 // checkDocuments returns an error if the daemon can't act on documents. Daemons with an odd index simulate an older build, which
--- a/internal/testkit/raftsim/simulation.go
+++ b/internal/testkit/raftsim/simulation.go
@@ -30,7 +30,7 @@
 
 const (
 	heartbeatInterval = 50 * time.Millisecond  // interval of the raft leader's heartbeats
-	decisionInterval  = 25 * time.Millisecond  // time between two decisions of a daemon
+	decisionInterval  = 25 * time.Millisecond  // time between two attempts of a daemon to act on its installed version
 	minDelay          = 500 * time.Microsecond // shortest one-way delay of a message
 	delaySpread       = 4 * time.Millisecond   // upper bound of the random time added to minDelay for each message
 	minSyncTime       = time.Millisecond       // shortest sync of a voter's log
@@ -38,8 +38,8 @@
 	checkDuration     = 2 * time.Millisecond   // time that a daemon takes to check a pending version
 	maxInstallTime    = 300 * time.Millisecond // longest time until all parts of a daemon act on a newly leased version
 
-	// Daemons with an odd index reject rejectableDoc while its body ends with rejectedSuffix. One put in
-	// rejectedPutPeriod gives the document such a body, and another one a body that all daemons accept.
+	// Daemons with an odd index reject rejectableDoc while its body ends with rejectedSuffix. Of every rejectedPutPeriod puts,
+	// one gives the document such a body, and another one a body that all daemons accept.
 	rejectableDoc     = "doc-hard"
 	rejectedSuffix    = "!"
 	rejectedPutPeriod = 16
@@ -113,8 +113,8 @@
 }
 
 // loseDisk replaces a voter's disk by an empty one and restarts the node after a second. It does so only if there are at least three
-// active voters, none of them departing, and each holder of a voter slot runs as an active voter with the disk of its slot. Thus no two
-// disks are lost at a time.
+// active voters, no voter is departing, and for each voter slot its node is up, its voter is active and its disk belongs to the slot. Thus
+// no two disks are lost at a time.
 func (s *Simulation) loseDisk(n *Node) {
 	var mostAdvanced *Node // running voter with the highest applied index
 	for _, v := range s.runningVoters() {
--- a/internal/testkit/raftsim/table.go
+++ b/internal/testkit/raftsim/table.go
@@ -58,7 +58,7 @@
 }
 
 // measurePut proposes a put, and returns the time until it is committed and the time until all running daemons have a valid lease on its
-// version. measurePut gives up after a minute; commitLatency is then 0 if the put was not committed.
+// version. measurePut gives up after a minute: activationLatency is then a minute, and commitLatency 0 if the put was not committed.
 func (s *Simulation) measurePut() (commitLatency, activationLatency time.Duration) {
 	startedAt, versionBefore := s.Now, s.Checker.latestVersion
 	s.lastPutNumber++
--- a/internal/testkit/simdisk/simdisk.go
+++ b/internal/testkit/simdisk/simdisk.go
@@ -66,7 +66,7 @@
 }
 
 // InjectFailure makes all changes fail with ErrIO once remainingChanges more changes have succeeded. On a disk that has never been
-// changed, at least one change succeeds.
+// changed, at least one change succeeds, since FailAfter 0 means that no change fails.
 func (d *Disk) InjectFailure(remainingChanges int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -114,7 +114,7 @@
 			end := min(len(c.data), start+SectorSize-int((c.offset+int64(start))%SectorSize))
 			if rng.IntN(3) > 0 {
 				if size := c.offset + int64(end); int64(len(b)) < size {
-					b = resize(b, size) // earlier sectors of the file that did not survive read as zeros
+					b = resize(b, size) // zeros stand for the sectors before this one that did not survive
 				}
 				copy(b[c.offset+int64(start):], c.data[start:end])
 			}
--- a/internal/testkit/swimsim/simulation.go
+++ b/internal/testkit/swimsim/simulation.go
@@ -17,9 +17,9 @@
 	Nodes          int
 	Seed           uint64
 	StartConverged bool         // every node runs at the start and knows all others
-	LossFraction   float64      // probability that a datagram is lost; a stream message is delayed by resendDelay with this probability, and otherwise lost with this probability
+	LossFraction   float64      // probability that a datagram is lost; also the probability that a stream message is delayed by resendDelay, and that one without this delay is lost
 	SlowFraction   float64      // fraction of nodes that alternate between pauses and running phases of about a second each
-	Swim           swim.Options // options of every node; Self, Seed and InitialMembers are overwritten
+	Swim           swim.Options // options of every node; StartNode replaces Self, Seed and InitialMembers by the values of each node
 }
 
 // In one direction a message takes from minDelay to minDelay+delayJitter, as in the network of one site.
@@ -146,8 +146,8 @@
 	n.tickSeq = s.queue.Schedule(max(n.simulationTime(n.NextTick()), s.Now), event{node: n})
 }
 
-// Run handles events until a virtual time, or until done returns true, and reports whether done did. done may be nil; it is
-// called after each event that changed a node's view.
+// Run handles events until a virtual time, or until done returns true. It returns true only if done has returned true. done may be
+// nil; it is called after each event that changed a node's view.
 func (s *Simulation) Run(until time.Duration, done func() bool) bool {
 	for e, ok := s.queue.PopDue(until); ok; e, ok = s.queue.PopDue(until) {
 		s.Now = e.At
--- a/internal/testkit/swimsim/simulation_test.go
+++ b/internal/testkit/swimsim/simulation_test.go
@@ -224,8 +224,8 @@
 	}
 }
 
-// The checker finds a violation of the expected rule by a faulty failure detector, and none by the unmodified one in the same
-// scenario.
+// If the nodes have a faulty failure detector, the checker finds a violation of the rule that the fault breaks. With the unmodified
+// detector, it finds no violation in the same scenario.
 func TestCheckerFindsFaultyDetectors(t *testing.T) {
 	runScenario := func(s *checkedSimulation) clusterinvariant.Verdict {
 		s.Run(5*time.Second, nil)
--- a/internal/testkit/testpeer/address.go
+++ b/internal/testkit/testpeer/address.go
@@ -10,13 +10,13 @@
 	"testing"
 )
 
-// FreeAddress and FreeAddressOnHost return addresses in a /24 block of loopback IPs that this test process has claimed. A port of
-// 127.0.0.1 that was closed to be bound again later could be taken in between, by a listener of another test process or as the
-// local port of an outgoing connection.
+// FreeAddress and FreeAddressOnHost return addresses in a /24 block of loopback IPs that this test process has claimed. They
+// do not open and close a port of 127.0.0.1 to find a free one: before the test opens the port again, a listener of another test process
+// or an outgoing connection could take it.
 const (
 	firstBlockOctet = 200   // second octet of the first block; the sidecars and daemons that package rehearse starts use smaller ones
-	blockOctetCount = 55    // number of second octets
-	blocksPerOctet  = 256   // number of third octets
+	blockOctetCount = 55    // number of values of the second octet that blocks have, from firstBlockOctet on
+	blocksPerOctet  = 256   // number of blocks with the same second octet, which differ in the third one
 	claimHost       = 254   // last octet of the IP at which a process claims its block
 	claimPort       = 32767 // port at which a process claims its block; no address of a block has it
 	firstPort       = 10000 // lowest port that nextAddress returns; its ports stay below those that the kernel assigns, from 32768 on by default
@@ -32,7 +32,7 @@
 // processBlock claims this process's block in its first call. The block is held until the process ends.
 var processBlock = sync.OnceValues(func() (*addressBlock, error) { return claimBlock(os.Getpid()) })
 
-// claimBlock claims the first free block, counted from the given one.
+// claimBlock claims the first free block. It begins with the block whose number is start, modulo the number of blocks.
 func claimBlock(start int) (*addressBlock, error) {
 	const blockCount = blockOctetCount * blocksPerOctet
 	var lastErr error
--- a/internal/testkit/testpeer/testpeer.go
+++ b/internal/testkit/testpeer/testpeer.go
@@ -122,14 +122,14 @@
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"z","kind":"k","cell":3,"state":%q,"weight":1.0,"started_ms":0}`, id, addr, state)
 }
 
-// ScriptedAgent is a discovery agent that writes the next of its Responses to each request. After the last one it
+// ScriptedAgent is a discovery agent that responds to each request with the next of its Responses. Once all have been used, it
 // leaves requests unanswered until the client disconnects.
 type ScriptedAgent struct {
 	Responses []string    // response bodies, in order; the suffix "SILENT" is not written, but keeps the response open until the client disconnects
 	Queries   chan string // receives the raw query of each request, before the response is written
 }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP implements http.Handler. It sends the request's query to Queries and then writes the next of the Responses.
 func (a *ScriptedAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	a.Queries <- r.URL.RawQuery
 	if len(a.Responses) == 0 {
