--- a/balance/admission.go
+++ b/balance/admission.go
@@ -36,7 +36,7 @@
 	exceedsQuota := b.chargeQuota(now, req)
 	areResponsesSlow := b.recentStretch > shedStretch
 	isCapacityShort := len(b.queue) > 0 ||
-		float64(b.inFlight) > usedLimitFraction*b.concurrencyLimit && areResponsesSlow ||
+		float64(b.inFlight) > limitInUseThreshold*b.concurrencyLimit && areResponsesSlow ||
 		areResponsesSlow && b.requestRate(now) > highRateQuotaMultiple*b.totalQuota
 	return now >= req.giveUpAt || b.allManuallyEjected() || isCapacityShort && exceedsQuota ||
 		len(b.queue) > 0 && !b.canMeetDeadline(now, req, minTimeLeftFraction)
--- a/balance/concurrency.go
+++ b/balance/concurrency.go
@@ -13,7 +13,7 @@
 	maxResponseStretch      = 3.0             // cap on a sample of recentStretch, as it may be an outlier
 	congestionStretch       = 1.6             // recentStretch above which the limit is reduced if in use
 	limitGrowthStretch      = 1.5             // recentStretch below which the limit grows when reached
-	usedLimitFraction       = 0.6             // attempts in flight / limit above which the limit is in use
+	limitInUseThreshold     = 0.6             // attempts in flight / limit above which the limit is in use
 
 	// limitGrowthGain is the number of attempts that a response adds to the limit, divided by the difference
 	// limitGrowthStretch - recentStretch.
@@ -38,7 +38,7 @@
 	gain := 1 - math.Exp(-(now-b.stretchUpdatedAt).Seconds()/stretchTimeConstant.Seconds())
 	b.stretchUpdatedAt = now
 	b.recentStretch += (min(stretch, maxResponseStretch) - b.recentStretch) * max(gain, recentMeanGain)
-	isLimitUsed := float64(b.inFlight+1) > usedLimitFraction*b.concurrencyLimit
+	isLimitUsed := float64(b.inFlight+1) > limitInUseThreshold*b.concurrencyLimit
 	switch {
 	case b.recentStretch > congestionStretch && isLimitUsed && now >= b.nextReductionAt:
 		usedLimit := min(b.concurrencyLimit, float64(b.inFlight+1))
--- a/balance/large_subset_test.go
+++ b/balance/large_subset_test.go
@@ -34,7 +34,7 @@
 
 // measureSpread returns the mean number of requests per endpoint, and the standard deviation and the largest deviation as
 // fractions of this mean, for the slow endpoints or, if isSlow is false, for all others.
-func measureSpread(requestCounts map[string]float64, n int, isSlow bool) (mean, deviation, maxDeviation float64) {
+func measureSpread(requestCounts map[string]float64, n int, isSlow bool) (mean, standardDeviation, maxDeviation float64) {
 	var counts []float64
 	for i := range n {
 		if (i%10 == 0) == isSlow {
@@ -44,11 +44,12 @@
 	for _, c := range counts {
 		mean += c / float64(len(counts))
 	}
+	variance := 0.0
 	for _, c := range counts {
-		deviation += (c - mean) * (c - mean) / float64(len(counts))
+		variance += (c - mean) * (c - mean) / float64(len(counts))
 		maxDeviation = max(maxDeviation, math.Abs(c-mean)/mean)
 	}
-	return mean, math.Sqrt(deviation) / mean, maxDeviation
+	return mean, math.Sqrt(variance) / mean, maxDeviation
 }
 
 // Picks from samples of a large subset must spread requests like picks from a small subset: evenly over equal endpoints, and
@@ -57,13 +58,13 @@
 	const meanRequestsPerEndpoint = 40
 	for _, n := range []int{200, 400, 2000} { // a pick scans all of 200 endpoints, but only a sample of 400 or 2000
 		got := countRequestsPerEndpoint(n, n*meanRequestsPerEndpoint, 1.4)
-		fastMean, deviation, maxDeviation := measureSpread(got, n, false)
+		fastMean, standardDeviation, maxDeviation := measureSpread(got, n, false)
 		slowMean, _, _ := measureSpread(got, n, true)
 		t.Logf("%d endpoints: %.1f requests each, standard deviation %.3f, largest deviation %.3f; slower ones get %.2f times as many",
-			n, fastMean, deviation, maxDeviation, slowMean/fastMean)
-		if deviation > 0.1 || maxDeviation > 0.5 {
+			n, fastMean, standardDeviation, maxDeviation, slowMean/fastMean)
+		if standardDeviation > 0.1 || maxDeviation > 0.5 {
 			t.Errorf("%d endpoints: requests have a standard deviation of %.3f and a largest deviation of %.3f, want 0.1 and 0.5 at most",
-				n, deviation, maxDeviation)
+				n, standardDeviation, maxDeviation)
 		}
 		if slowToFastRatio := slowMean / fastMean; slowToFastRatio < 0.6 || slowToFastRatio > 0.95 {
 			t.Errorf("%d endpoints: those with 1.4 times the latency get %.2f of the others' requests, want 0.6 to 0.95", n, slowToFastRatio)
--- a/balance/pick_test.go
+++ b/balance/pick_test.go
@@ -62,8 +62,9 @@
 	}
 }
 
-// A balancer with little traffic sends to an endpoint only every few seconds. Until the endpoint has latency samples, the
-// weight of its kind applies.
+// A balancer with little traffic sends to an endpoint only every few seconds, so it has few latency samples of each one. The
+// weight that endpoints with the same Endpoint.Kind share is learned from the samples of all of them, and must lead to fewer
+// requests to the endpoints of a slow kind although each of them has only three samples.
 func TestWeightOfKindAppliesToEndpointsWithFewSamples(t *testing.T) {
 	s := defaultSettings()
 	h := newHarness(t, s)
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -129,7 +129,7 @@
 	return &connection{Conn: nc, idleEntry: s.idle.PushBack(nc)}, true
 }
 
-// release closes a connection and lets admit accept another one.
+// release closes a connection, so that the method admit may accept another one.
 func (s *Server) release(c *connection) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/config/listener.go
+++ b/internal/config/listener.go
@@ -21,7 +21,7 @@
 	IdleTimeout      time.Duration `toml:"idle_timeout"`  // maximum time between two requests on a connection
 	WriteTimeout     time.Duration `toml:"write_timeout"` // time limit for sending a response
 	Forwarded        string        `toml:"forwarded"`     // handling of forwarding headers: "set", "append", "drop" or "leave"
-	RetryAfterFormat string        `toml:"retry_after"`   // format of the Retry-After header: "seconds" (RFC 9110) or "fraction"
+	RetryAfterFormat string        `toml:"retry_after"`   // format of the Retry-After header: "seconds" (whole seconds, RFC 9110) or "fraction" (with decimals)
 
 	StreamIdleTimeout time.Duration `toml:"flow_idle"` // longest wait for the client's next byte while a body streams
 	MinStreamRate     int64         `toml:"flow_rate"` // minimum rate of a client's streaming body in bytes per second; 0 for no minimum
@@ -54,14 +54,15 @@
 	defaultMinStreamRate     = 1 << 10 // bytes per second, for a peer that sends or receives a body
 )
 
-// Values of the fields forwarded (forwarding headers are set, appended to, dropped or left unchanged) and retry_after.
+// Values of the fields forwarded (forwarding headers are set, appended to, dropped or left unchanged) and retry_after (the
+// Retry-After header is written in whole seconds, or in seconds with decimals).
 const (
-	forwardedSet       = "set"
-	forwardedAppend    = "append"
-	forwardedDrop      = "drop"
-	forwardedLeave     = "leave"
-	retryAfterSeconds  = "seconds"
-	retryAfterFraction = "fraction"
+	forwardedModeSet                  = "set"
+	forwardedModeAppend               = "append"
+	forwardedModeDrop                 = "drop"
+	forwardedModeLeave                = "leave"
+	retryAfterFormatWholeSeconds      = "seconds"
+	retryAfterFormatFractionalSeconds = "fraction"
 )
 
 // defaultListener returns a listener with default limits and without a name and an address. The limits of streaming bodies
@@ -71,7 +72,7 @@
 		MaxConnections: defaultConnections, MaxHeadBytes: defaultHeadBytes, MaxBodyBytes: defaultBodyBytes,
 		HeadTimeout: 1500 * time.Millisecond, BodyTimeout: time.Second,
 		IdleTimeout: 5 * time.Second, WriteTimeout: 5 * time.Second,
-		Forwarded: forwardedSet, RetryAfterFormat: retryAfterSeconds,
+		Forwarded: forwardedModeSet, RetryAfterFormat: retryAfterFormatWholeSeconds,
 	}
 }
 
@@ -107,7 +108,7 @@
 // addresses are sets with the names and addresses of the listeners that were checked before; check adds those of this listener. Port
 // 0 stands for any free port, so several listeners may have the same address with port 0.
 func (l *Listener) check(tomlFile *tomlfile.File, table string, names, addresses uniqueNames) error {
-	forwardedValues := []string{forwardedSet, forwardedAppend, forwardedDrop, forwardedLeave}
+	forwardedModes := []string{forwardedModeSet, forwardedModeAppend, forwardedModeDrop, forwardedModeLeave}
 	isUniqueAddress := strings.HasSuffix(l.Address, ":0") || addresses.add(l.Address)
 	return tomlFile.Check(table, []tomlfile.Requirement{
 		tomlfile.Require("name", names.add(l.Name), "a unique name"),
@@ -122,8 +123,8 @@
 		tomlfile.Require("write_timeout", l.WriteTimeout > 0, "over 0"),
 		tomlfile.Require("flow_idle", l.StreamIdleTimeout > 0, "over 0"),
 		tomlfile.Require("flow_rate", l.MinStreamRate >= 0, "0 or more"),
-		tomlfile.Require("forwarded", slices.Contains(forwardedValues, l.Forwarded), `"set", "append", "drop" or "leave"`),
-		tomlfile.Require("retry_after", l.RetryAfterFormat == retryAfterSeconds || l.RetryAfterFormat == retryAfterFraction,
+		tomlfile.Require("forwarded", slices.Contains(forwardedModes, l.Forwarded), `"set", "append", "drop" or "leave"`),
+		tomlfile.Require("retry_after", l.RetryAfterFormat == retryAfterFormatWholeSeconds || l.RetryAfterFormat == retryAfterFormatFractionalSeconds,
 			`"seconds" or "fraction"`),
 	})
 }
--- a/internal/config/platform_service.go
+++ b/internal/config/platform_service.go
@@ -71,7 +71,7 @@
 func (c Config) platformListener(connectionLimit int) Listener {
 	l := defaultListener()
 	l.Name, l.Address, l.MaxConnections, l.UsesRawTargets = platformName, c.Listen, connectionLimit, true
-	l.Forwarded, l.RetryAfterFormat = forwardedLeave, retryAfterFraction
+	l.Forwarded, l.RetryAfterFormat = forwardedModeLeave, retryAfterFormatFractionalSeconds
 	l.HeadTimeout, l.BodyTimeout, l.MaxBodyBytes = platformHeadTimeout, platformBodyTimeout, platformMaxBodyBytes
 	l.StreamIdleTimeout, l.MinStreamRate = platformStreamIdleTimeout, platformMinStreamRate
 	return l
--- a/internal/frontend/arrival.go
+++ b/internal/frontend/arrival.go
@@ -48,8 +48,10 @@
 }
 
 // arrivalTime returns the time at which a request that is read now arrived, and whether its client has disconnected since. The
-// kernel knows only when the latest bytes on the connection were received. If that was less than stallThreshold ago, arrivalTime
-// returns now: such bytes may be the end of a body whose beginning arrived long before, and are no evidence of a stall.
+// kernel knows only when the latest bytes on the connection were received. If that was at least stallThreshold ago, the request is
+// taken to have waited in its socket while the process was stopped or got no processor time, and arrivalTime returns the time of
+// these bytes. Otherwise it returns now: the latest bytes may be the end of a body whose beginning arrived long before, so that their
+// time says neither when the request arrived nor whether the process was stopped.
 func (s *Server) arrivalTime(r *http.Request, now time.Time) (arrived time.Time, isDisconnected bool) {
 	if !s.stallDetector.observeRequest(now) {
 		return now, false
--- a/internal/hotrestart/state.go
+++ b/internal/hotrestart/state.go
@@ -23,11 +23,12 @@
 type State struct {
 	Format    int        `json:"format"`    // version of the format, always stateFormat
 	Name      string     `json:"name"`      // name of the sidecar
-	Processes []Process  `json:"processes"` // processes that have joined, in ascending order of their numbers
+	Processes []Process  `json:"processes"` // processes that have joined the sidecar by Join, in ascending order of their numbers
 	Ejections []Ejection `json:"bars"`      // for each endpoint, whether an operator last ejected it or restored it to service; in the order of recording
 }
 
-// Process is the entry of a process that has joined. The entry of a process that has ended stays until another process joins.
+// Process describes, in State.Processes, a process that has joined the sidecar by Join. After the process has ended, its Process
+// stays in the list until another process joins.
 type Process struct {
 	Number int  `json:"number"` // greater than the numbers of all processes that joined earlier
 	Ready  bool `json:"ready"`  // whether the process accepts connections
--- a/internal/sidecar/fault_matrix_test.go
+++ b/internal/sidecar/fault_matrix_test.go
@@ -52,7 +52,7 @@
 	failOnce, endOnce sync.Once // guard the closing of nodeFailed and of exchangeEnded
 }
 
-// newMatrixCell returns a cell whose requests have the given path.
+// newMatrixCell returns a cell of the fault matrix whose requests have the given path.
 func newMatrixCell(path, direction, failingSide, moment, fault, class string) *matrixCell {
 	c := &matrixCell{
 		direction:     direction,
@@ -76,7 +76,7 @@
 	return c
 }
 
-// newMatrixCells returns all cells of the matrix.
+// newMatrixCells returns all cells of the fault matrix.
 func newMatrixCells() []*matrixCell {
 	var cells []*matrixCell
 	for _, direction := range matrixDirections {
@@ -105,8 +105,8 @@
 // markNodeFailed records that the endpoint has failed.
 func (c *matrixCell) markNodeFailed() { c.failOnce.Do(func() { close(c.nodeFailed) }) }
 
-// longBodyBytes holds the bytes from which longBody takes all long bodies. All cells share them, since allocating a body
-// for each cell would take too much time.
+// longBodyBytes holds the bytes from which longBody takes all long bodies. All cells of the fault matrix share
+// them, since allocating a body for each cell would take too much time.
 var longBodyBytes = bytes.Repeat([]byte("0123456789abcdef"), 64<<20/16)
 
 // longBody returns a body of the given size, at most 64 MiB. The bytes are shared and must not be changed.
@@ -118,15 +118,16 @@
 	nc.Close()
 }
 
-// expectation is one row of the table in docs/operators/long-bodies.md, which promises an outcome for some cells.
+// expectation is one row of the table in docs/operators/long-bodies.md. The row says which outcomes are promised for the cells of
+// the fault matrix that cellPattern selects.
 type expectation struct {
-	// cellPattern selects cells by direction, failing side, moment, fault and class. Each element is "*", which matches all
-	// values, or a list of values separated by commas.
+	// cellPattern selects cells of the fault matrix by direction, failing side, moment, fault and class. Each element is "*",
+	// which matches all values, or a list of values separated by commas.
 	cellPattern [5]string
 	outcomes    []string     // outcomes that the client may get, as classifyResponse names them
 	maxRuns     int          // how often the request may run at an endpoint
 	row         int          // number of this row in the table of long-bodies.md, for failure messages
-	matchCount  atomic.Int32 // number of matrix cells to which this row applied
+	matchCount  atomic.Int32 // number of cells of the fault matrix to which this row applied
 }
 
 // readExpectations reads the table in docs/operators/long-bodies.md.
@@ -164,7 +165,7 @@
 	return rows
 }
 
-// appliesTo reports whether the row's cellPattern matches a cell.
+// appliesTo reports whether the row's cellPattern matches a cell of the fault matrix.
 func (e *expectation) appliesTo(c *matrixCell) bool {
 	for i, value := range []string{c.direction, c.failingSide, c.moment, c.fault, c.class} {
 		if e.cellPattern[i] != "*" && !listContains(e.cellPattern[i], value) {
@@ -184,8 +185,8 @@
 	return false
 }
 
-// checkCell compares a cell's outcome and number of runs with the first row that applies to the cell. It returns an error
-// if they are not what the row promises, if two attempts were in flight at once, or if no row applies.
+// checkCell compares the outcome and the number of runs of a cell of the fault matrix with the first row of the table that applies
+// to the cell. It returns an error if they are not what the row promises, if two attempts were in flight at once, or if no row applies.
 func checkCell(c *matrixCell, outcome string, rows []*expectation) error {
 	for _, e := range rows {
 		if !e.appliesTo(c) {
@@ -205,7 +206,7 @@
 	return errors.New("no row of the table applies to the cell")
 }
 
-// matrixFile returns an operators' file with a pool and a route for each cell. All pools have the same two members.
+// matrixFile returns an operators' file with a pool and a route for each cell of the fault matrix. All pools have the same two members.
 func matrixFile(cells []*matrixCell, a, b string) string {
 	file := strings.Builder{}
 	file.WriteString(`format = 1
--- a/internal/testkit/invariant/timeline_test.go
+++ b/internal/testkit/invariant/timeline_test.go
@@ -30,17 +30,17 @@
 // timeline is a list of events. Its methods append events and return the longer list.
 type timeline []Event
 
-// start appends the start of a sidecar.
+// start appends the event that a sidecar starts.
 func (l timeline) start(at time.Duration, sidecar string) timeline {
 	return append(l, Event{At: at, Kind: SidecarStarted, Sidecar: sidecar})
 }
 
-// request appends a request to the sidecar s with a deadline 2 s later.
+// request appends the event that a client sends a request to the sidecar named "s". The request's deadline is 2 s after the event.
 func (l timeline) request(at time.Duration, id string, class int) timeline {
 	return append(l, Event{At: at, Kind: RequestSent, Request: id, Sidecar: "s", Class: class, Deadline: at + 2*s})
 }
 
-// attempt appends an attempt with 0.1 s of work. Its last byte arrives at the instant at, 1 ms after the first byte.
+// attempt appends the event that a node receives the last byte of an attempt, 1 ms after the first byte. The attempt has 0.1 s of work.
 func (l timeline) attempt(at time.Duration, id, node string, cell int) timeline {
 	return append(l, Event{At: at, FirstByteAt: at - ms, Kind: AttemptReceived, Request: id, Node: node, Cell: cell, Work: 0.1})
 }
@@ -50,17 +50,17 @@
 	return append(l, Event{At: at, Kind: kind, Request: id, Node: node})
 }
 
-// respond appends a genuine response to a request.
+// respond appends the event that the client receives a genuine response to a request.
 func (l timeline) respond(at time.Duration, id string, status int) timeline {
 	return append(l, Event{At: at, Kind: ResponseReceived, Request: id, Status: status, IsGenuine: true})
 }
 
-// notify appends a notification of the sidecar s that the node a is in a state.
+// notify appends the event that the sidecar named "s" is notified of the state of the node named "a".
 func (l timeline) notify(at time.Duration, state State) timeline {
 	return append(l, Event{At: at, Kind: NodeStateNotified, Sidecar: "s", Node: "a", State: state})
 }
 
-// newTimeline returns a timeline that begins with the start of the sidecar s.
+// newTimeline returns a timeline that begins with the start of the sidecar named "s".
 func newTimeline() timeline { return timeline{}.start(1, "s") }
 
 // timelineCases holds timelines for each rule: one for each fault that the rule guards against, and some that keep the rule but
--- a/internal/testkit/rehearse/faulty_sidecar_test.go
+++ b/internal/testkit/rehearse/faulty_sidecar_test.go
@@ -51,9 +51,9 @@
 			return err
 		}
 	case "sends to draining nodes":
-		// hideDrains keeps notifications of drains from the sidecar. A faultyBalancer replaces the sidecar's own balancer, which would
-		// pause a draining node that rejects requests. The node might then receive no request after Day.Rules.DrainGrace, the time after
-		// which a request to a draining node is a violation.
+		// The sidecar must send a request to a draining node later than Day.Rules.DrainGrace after the notification of the drain, since
+		// only that is a violation. Therefore hideDrains keeps the notification from the sidecar, and a faultyBalancer replaces the
+		// sidecar's own balancer. That balancer would eject the draining node for its rejections, and the violation might not occur.
 		if c.Discovery, err = hideDrains(c.Discovery); err != nil {
 			return err
 		}
--- a/internal/testkit/rehearse/measure.go
+++ b/internal/testkit/rehearse/measure.go
@@ -11,21 +11,22 @@
 )
 
 // The weights of four fractions of which computeServicePoints forms a weighted sum. Each fraction says how much of the value of
-// requests (priority weight times work) was served in time. The sum of the weights is 1.
+// requests (priority weight times work) was served in time: of all requests of the run, or only of those in the time window, the
+// class or the tenant for which the fraction is lowest. The sum of the weights is 1.
 const (
-	weightOverall     = 0.55
-	weightWorstWindow = 0.15
-	weightWorstClass  = 0.05
-	weightWorstTenant = 0.25
+	pointsWeightAllRequests = 0.55
+	pointsWeightWorstWindow = 0.15
+	pointsWeightWorstClass  = 0.05
+	pointsWeightWorstTenant = 0.25
 )
 
 // The factors of the penalties. A penalty is its factor times a ratio that is measured in the run, such as the connections per
 // request, and is subtracted from the service points of the run, which are out of 100. The fields of Penalties say what each ratio is.
 const (
-	penaltyConnections  = 8
-	penaltyWaste        = 4
-	penaltyLateFailures = 3
-	penaltyOverload     = 6
+	penaltyFactorConnections  = 8
+	penaltyFactorWaste        = 4
+	penaltyFactorLateFailures = 3
+	penaltyFactorOverload     = 6
 )
 
 // worstWindowSeconds is the length in seconds of the time windows among which Result.WorstWindowFraction finds the worst.
@@ -125,7 +126,7 @@
 	}
 	result.InTimeFraction, result.WorstWindowFraction = overall.Fraction, worstWindowFraction(result.BySecond)
 	result.ClientAttemptsPerRequest = ratio(float64(attemptsSent), float64(len(r.plan.Requests)), 0)
-	result.Penalties.LateFailures = penaltyLateFailures * ratio(lateFailureValue, overall.Offered, 0)
+	result.Penalties.LateFailures = penaltyFactorLateFailures * ratio(lateFailureValue, overall.Offered, 0)
 }
 
 // addNodeMetrics sets what nodes observed, namely attempts, connections, wasted work and overload, and the rejections by second.
@@ -180,16 +181,16 @@
 			usefulWork += totalWork
 		}
 	}
-	result.Penalties.Connections = penaltyConnections * result.ConnectionsPerRequest
-	result.Penalties.Waste = penaltyWaste * ratio(max(workDone-usefulWork, 0), offeredWork, 0)
-	result.Penalties.Overload = penaltyOverload * ratio(float64(overloadedNodes), float64(len(r.plan.Nodes)), 0)
+	result.Penalties.Connections = penaltyFactorConnections * result.ConnectionsPerRequest
+	result.Penalties.Waste = penaltyFactorWaste * ratio(max(workDone-usefulWork, 0), offeredWork, 0)
+	result.Penalties.Overload = penaltyFactorOverload * ratio(float64(overloadedNodes), float64(len(r.plan.Nodes)), 0)
 }
 
 // computeServicePoints sets the service points, which rate the run out of 100: a weighted sum of four fractions, each of the value of
 // requests (priority weight times work) that was served in time, minus the penalties.
 func (r *Result) computeServicePoints() {
-	r.ServicePoints = 100*(weightOverall*r.InTimeFraction+weightWorstWindow*r.WorstWindowFraction+weightWorstClass*minFraction(r.ByClass)+
-		weightWorstTenant*minFraction(r.ByTenant)) -
+	r.ServicePoints = 100*(pointsWeightAllRequests*r.InTimeFraction+pointsWeightWorstWindow*r.WorstWindowFraction+
+		pointsWeightWorstClass*minFraction(r.ByClass)+pointsWeightWorstTenant*minFraction(r.ByTenant)) -
 		r.Penalties.Connections - r.Penalties.Waste - r.Penalties.LateFailures - r.Penalties.Overload
 }
 
--- a/internal/testkit/schedule/stream_test.go
+++ b/internal/testkit/schedule/stream_test.go
@@ -104,7 +104,7 @@
 	} {
 		c.process.Rate = Steady(rate)
 		instants := drawInstants(t, 11, c.process, length)
-		if deviation := math.Abs(float64(len(instants))/wantCount - 1); deviation > c.countTolerance+1e-9 {
+		if relativeError := math.Abs(float64(len(instants))/wantCount - 1); relativeError > c.countTolerance+1e-9 {
 			t.Errorf("%s: %d arrivals, want about %.0f", name, len(instants), wantCount)
 		}
 		d := indexOfDispersion(instants, length.Seconds(), 1)
--- a/internal/upstream/request_body.go
+++ b/internal/upstream/request_body.go
@@ -30,7 +30,7 @@
 	meter       body.Meter    // meter of the rate at which the endpoint reads the body
 	bodyAllowed chan struct{} // closed when the body may be sent, or the sender was stopped
 	allowOnce   sync.Once     // ensures that bodyAllowed is closed only once
-	done        chan struct{} // closed when run returns
+	done        chan struct{} // closed when the method run returns
 	isStopped   atomic.Bool   // whether the sender was stopped, so that nothing more may be written
 
 	mu             sync.Mutex // held during each write to the endpoint; guards writtenBytes, isSent, isTooSlow and isUploadBroken
@@ -75,14 +75,14 @@
 	}
 }
 
-// allowBody lets run send the body. It may be called several times.
+// allowBody allows the method run to send the body. allowBody may be called several times.
 func (s *bodySender) allowBody() { s.allowOnce.Do(func() { close(s.bodyAllowed) }) }
 
 // stop stops the sender, unless the request was sent completely, and returns when nothing more will be written. It does not wait
 // for a read from the client. With closesConn it also closes the connection.
 func (s *bodySender) stop(closesConn bool) {
 	s.isStopped.Store(true)
-	s.reader.Close() // closed before allowBody lets run go on: a client that waits for 100 Continue must not be asked for a body that is not needed
+	s.reader.Close() // closed before allowBody allows the method run to go on: a client that waits for 100 Continue must not be asked for a body that is not needed
 	s.allowBody()
 	if closesConn {
 		s.exchange.conn.Close()
@@ -93,7 +93,7 @@
 	isSent := s.isSent
 	s.mu.Unlock()
 	if isSent {
-		<-s.done // run calls AttemptHooks.RequestSent, which must happen before Attempt returns
+		<-s.done // the method run calls AttemptHooks.RequestSent, which must happen before Attempt returns
 		_ = s.exchange.conn.SetWriteDeadline(time.Time{})
 	}
 }
