--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -17,8 +17,9 @@
 )
 
 // resetEndpoint resets the state of a new or restarted endpoint, which becomes active by a trial. The instant
-// of the trial is random within one round (see roundDuration), since all balancers receive the list at the
-// same time. On the first list, an endpoint that is not warming up is active at once.
+// of the trial is random within one round, the time in which each endpoint of the subset gets one request if
+// all get the same number, since all balancers receive the list at the same time. On the first list, an
+// endpoint that is not warming up is active at once.
 func (b *Balancer) resetEndpoint(now time.Duration, ep *endpoint, isFirstList bool) {
 	ep.active = isFirstList && b.capacityFraction(now, ep) == 1
 	ep.backoff = b.initialBackoff(now)
@@ -149,8 +150,9 @@
 	ep.active, ep.ejected, ep.deficit = true, false, ep.weight()
 }
 
-// initialBackoff returns the backoff before the first trial. It is at least one round (see roundDuration), so
-// that an inactive endpoint gets no more requests from this balancer than an active one.
+// initialBackoff returns the backoff before the first trial. It is at least one round, the time in which each
+// endpoint of the subset gets one request if all get the same number. So an inactive endpoint, which gets one
+// trial per backoff, gets no more requests from this balancer than an active one.
 func (b *Balancer) initialBackoff(now time.Duration) time.Duration {
 	return max(minBackoff, b.roundDuration(now))
 }
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -22,8 +22,10 @@
 	// deficit of the picked endpoint plus these charges, so that the next load probes go to other endpoints.
 	reportedLoadCharge = 0.5
 
-	// maxDeficitLag is how far a deficit may be below that of the picked endpoint, as a multiple of the
-	// picked endpoint's weight, so that an endpoint gets no long burst of requests.
+	// maxDeficitLag limits how far an endpoint's deficit may be below that of the endpoint picked for a
+	// request, as a multiple of the picked endpoint's weight. The endpoint with the lowest sum of deficit and
+	// charge for its load is picked. Without the limit, an endpoint that was passed over because of its load
+	// would get a long burst of requests afterwards.
 	maxDeficitLag = 2.0
 
 	sharedLatencyFraction = 0.7 // assumed part of the smallest weight that the tiers below cause
@@ -51,9 +53,10 @@
 }
 
 // pickFromSubset picks from the subset, or from a sample of a large one, so that the cost of a pick does not
-// grow with the number of endpoints. Samples contain each endpoint many times per round (see roundDuration),
-// so that requests are still spread evenly. The whole subset is scanned only if the sample has neither an
-// active endpoint nor a due trial.
+// grow with the number of endpoints. Within one round, the time in which each endpoint of the subset gets one
+// request if all get the same number, the samples contain each endpoint many times, so that requests are
+// still spread evenly. The whole subset is scanned only if the sample has neither an active endpoint nor a
+// due trial.
 func (b *Balancer) pickFromSubset(now time.Duration, req *request) *endpoint {
 	candidates := b.pickCandidates()
 	ep := b.pick(now, req, candidates)
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -29,7 +29,7 @@
 		return used
 	}
 	before := collectUsedEndpoints(h)
-	h.balancer.SetBalancerCount(h.now, 60, 0) // has no effect: the index is 0 already
+	h.balancer.SetBalancerCount(h.now, 60, 0) // has no effect: the count is 60 and the index 0 already
 	h.balancer.SetBalancerCount(h.now, 60, 30)
 	after := collectUsedEndpoints(h)
 	sharedEndpoints := 0
--- a/internal/cluster/consensus/lease_test.go
+++ b/internal/cluster/consensus/lease_test.go
@@ -164,7 +164,9 @@
 	if _, _, ok := rejecting.Valid(now); ok {
 		t.Error("the daemon that rejects the forced version has a lease")
 	}
-	requestLeases(1) // the rejecting daemon's request reports that it has accepted the grant without a lease
+	// The last grant to the rejecting daemon had a lease duration of 0. The daemon's next request tells the leader that the daemon
+	// accepted this grant, and therefore has no lease anymore.
+	requestLeases(1)
 	if m.VersionToActivate(now, state) != 3 {
 		t.Errorf("version to activate %d, want the forced version 3; lagging: %v",
 			m.VersionToActivate(now, state), m.laggingDaemons(now, state))
--- a/internal/cluster/status/command.go
+++ b/internal/cluster/status/command.go
@@ -106,11 +106,11 @@
 // Unwrap returns the error of the last request that SendCommand sent.
 func (e IndeterminateError) Unwrap() error { return e.error }
 
-// SendCommand sends a command on the documents that the cluster has agreed on to the daemon whose admin address is addr. The
-// command consists of args, which follow the word settings on the request line, and of body, the new body of a document that
-// the command writes. While no majority of the voters responds, SendCommand retries with the same arguments. If the command
-// must not be carried out twice, the arguments must contain an ID. SendCommand returns an IndeterminateError if there is no
-// result within retryFor, and any other error at once.
+// SendCommand connects to a daemon at its admin address addr, and sends it a command that concerns the documents on which the
+// cluster has agreed. The command consists of args, which follow the word settings on the request line, and of body, the new
+// body of a document that the command writes. While no majority of the voters responds, SendCommand retries with the same
+// arguments. If the command must not be carried out twice, the arguments must contain an ID. SendCommand returns an
+// IndeterminateError if there is no result within retryFor, and any other error at once.
 func SendCommand(addr string, args []string, body []byte, retryFor time.Duration) (*CommandResult, error) {
 	deadline := time.Now().Add(retryFor)
 	for {
--- a/internal/cluster/transport/keys.go
+++ b/internal/cluster/transport/keys.go
@@ -28,7 +28,7 @@
 	// be guessed.
 	minKeyBytes = 16
 	maxKeyBytes = 64 // maximum length of a key in bytes: the block size of SHA-256; HMAC would replace a longer key by its hash
-	// malformedKeyFileText is the error text for a malformed key file.
+	// malformedKeyFileText says in errors what a key file must contain. It never quotes the file, whose content is secret.
 	malformedKeyFileText = "must contain one or two keys, each on a line of 32 to 128 hexadecimal digits"
 )
 
--- a/internal/config/documents.go
+++ b/internal/config/documents.go
@@ -50,7 +50,7 @@
 		return nil, nil, err
 	}
 	shared, removed = tomlfile.RemoveTopLevel(text, localSections...)
-	_, err = parseShared(name, shared)
+	_, err = parseSharedDocument(name, shared)
 	return shared, removed, err
 }
 
@@ -72,8 +72,9 @@
 	return err
 }
 
-// parseShared parses and checks the shared part of a file. The File that it returns has no local sections.
-func parseShared(name string, text []byte) (*File, error) {
+// parseSharedDocument parses and checks a document with the part of an operators' file that all daemons share. The File that it
+// returns has no local sections.
+func parseSharedDocument(name string, text []byte) (*File, error) {
 	f := &File{}
 	tomlFile, err := tomlfile.Decode(name, text, f)
 	if err != nil {
@@ -86,13 +87,13 @@
 		return nil, err
 	}
 	f.applyDefaults(tomlFile)
-	if err := runChecks(tomlFile, f.checkShared, f.checkClasses, f.checkTenants, f.checkPools, f.checkRoutes); err != nil {
+	if err := runChecks(tomlFile, f.checkSharedSection, f.checkClasses, f.checkTenants, f.checkPools, f.checkRoutes); err != nil {
 		return nil, err
 	}
 	return f, nil
 }
 
-func (f *File) checkShared(tomlFile *tomlfile.File) error {
+func (f *File) checkSharedSection(tomlFile *tomlfile.File) error {
 	onIndeterminate := f.Shared.OnIndeterminate
 	return tomlFile.Check("shared", []tomlfile.Requirement{
 		tomlfile.Require("unsure", onIndeterminate == keepServing || onIndeterminate == rejectRequests, `"keep" or "refuse"`),
@@ -121,7 +122,7 @@
 func (f *File) WithDocuments(docs map[string][]byte) (*File, error) {
 	merged := *f
 	if text, ok := docs[SharedDocument]; ok {
-		shared, err := parseShared(SharedDocument, text)
+		shared, err := parseSharedDocument(SharedDocument, text)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -60,7 +60,7 @@
 	f.applyDefaults(tomlFile)
 	f.applyClusterDefaults(tomlFile)
 	boundConsensusCheck := func(tomlFile *tomlfile.File) error { return consensusCheck(f, tomlFile) }
-	if err := runChecks(tomlFile, f.checkFormat, f.checkDaemon, f.checkListeners, f.checkCluster, f.checkShared, boundConsensusCheck,
+	if err := runChecks(tomlFile, f.checkFormat, f.checkDaemon, f.checkListeners, f.checkCluster, f.checkSharedSection, boundConsensusCheck,
 		f.checkClasses, f.checkTenants, f.checkPools, f.checkRoutes); err != nil {
 		return nil, err
 	}
--- a/internal/sidecar/isolation_test.go
+++ b/internal/sidecar/isolation_test.go
@@ -129,7 +129,7 @@
 	}
 	healthyAddr, hungAddr := startWithHungPool(t, os.Getenv("TULIPROCK_TEST_SEPARATE_LISTENERS") != "")
 	clients, _ := strconv.Atoi(os.Getenv("TULIPROCK_TEST_LOAD_CLIENTS"))
-	var unloadedP99s, loadedP99s, ratios []float64
+	var allUnloadedMicros, allLoadedMicros, ratios []float64
 	for i := range pairs {
 		measure := func(withLoad bool) float64 {
 			stop := make(chan bool)
@@ -144,16 +144,18 @@
 			load.Wait()
 			return float64(p99.Microseconds())
 		}
-		var p99Without, p99With float64
+		var unloadedP99Micros, loadedP99Micros float64
 		if i%2 == 0 {
-			p99Without, p99With = measure(false), measure(true)
+			unloadedP99Micros, loadedP99Micros = measure(false), measure(true)
 		} else {
-			p99With, p99Without = measure(true), measure(false)
+			loadedP99Micros, unloadedP99Micros = measure(true), measure(false)
 		}
-		unloadedP99s, loadedP99s, ratios = append(unloadedP99s, p99Without), append(loadedP99s, p99With), append(ratios, p99With/p99Without)
+		allUnloadedMicros = append(allUnloadedMicros, unloadedP99Micros)
+		allLoadedMicros = append(allLoadedMicros, loadedP99Micros)
+		ratios = append(ratios, loadedP99Micros/unloadedP99Micros)
 	}
 	t.Logf("p99 from when requests were due, µs: without load %v, with load %v, ratio %v",
-		formatSpread(unloadedP99s), formatSpread(loadedP99s), formatSpread(ratios))
+		formatSpread(allUnloadedMicros), formatSpread(allLoadedMicros), formatSpread(ratios))
 }
 
 // formatSpread returns the median, minimum and maximum of values as text.
--- a/internal/testkit/rehearse/result.go
+++ b/internal/testkit/rehearse/result.go
@@ -38,7 +38,7 @@
 	Fleet      FleetSize      `json:"fleet"`
 	Cluster    *ClusterResult `json:"peers,omitempty"` // verdicts on the cluster; nil: the day has no cluster
 	Harness    HarnessMetrics `json:"own"`
-	Rejections []float64      `json:"refusals_by_second"` // for each second of the day, the number of rejections that clients and nodes received
+	Rejections []float64      `json:"refusals_by_second"` // for each second of the day, the number of responses with status 429 or 503 that clients, and nodes that called the next tier, received from sidecars
 }
 
 // ServedValue is the value (priority weight times work) of a set of client requests, and the part of this value that was served in
--- a/internal/testkit/schedule/stream_test.go
+++ b/internal/testkit/schedule/stream_test.go
@@ -196,7 +196,7 @@
 	})
 }
 
-func TestNewStreamRejectsInvalidProcesses(t *testing.T) {
+func TestNewStreamRejectsInvalidArrivalProcesses(t *testing.T) {
 	for name, p := range map[string]Process{
 		"no points":              {},
 		"rate is NaN":            {Rate: Steady(math.NaN())},
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -117,7 +117,7 @@
 	switch {
 	case x.client.isAcceptable(resp.StatusCode):
 		return outcome{balance.OK, response, isReusable}
-	case mayBeDeclined(resp.StatusCode) && resp.Header.Get(declinedHeader) == "1":
+	case statusAllowsDeclinedHeader(resp.StatusCode) && resp.Header.Get(declinedHeader) == "1":
 		return outcome{balance.Rejected, Response{}, isReusable}
 	case x.client.options.AcceptOnlyStatusOK || promisesNotRun(resp.StatusCode):
 		return outcome{balance.ErrorResponse, Response{}, isReusable}
@@ -142,8 +142,9 @@
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// mayBeDeclined reports whether a status is one that can come with declinedHeader.
-func mayBeDeclined(status int) bool {
+// statusAllowsDeclinedHeader reports whether declinedHeader has a meaning in a response with the given status. With any other status
+// the header is ignored.
+func statusAllowsDeclinedHeader(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 }
 
